--- a/src/crosscleat/adapters/clock.py
+++ b/src/crosscleat/adapters/clock.py
@@ -4,7 +4,7 @@
 
 import time
 
-from ..core.ids import Seconds, WallTime
+from ..core.model.ids import Seconds, WallTime
 
 
 def steady() -> Seconds:
--- a/src/crosscleat/adapters/cloud_client.py
+++ b/src/crosscleat/adapters/cloud_client.py
@@ -8,9 +8,8 @@
 import aiohttp
 import msgspec
 
-from ..core.effects import DeleteMachines, Rent
-from ..core.model import MachineType
-from ..core.reports import ListedMachine
+from ..core.model.cloud import ListedMachine, MachineType
+from ..core.model.cloud_calls import DeleteMachines, Rent
 from ..wire import cloud as wire
 
 TIMEOUT_S = 5.0
--- a/src/crosscleat/adapters/http_server.py
+++ b/src/crosscleat/adapters/http_server.py
@@ -11,10 +11,10 @@
 from aiohttp import web
 from aiohttp.web_protocol import RequestHandler
 
-from ..core.controller import Abort, Poll, Refuse, Submit
-from ..core.effects import Answer
-from ..core.ids import JobRef, is_job_ref
-from ..core.model import JobSpec
+from ..core.model.effects import Answer
+from ..core.model.ids import JobRef, is_job_ref
+from ..core.model.inputs import Abort, Poll, Refuse, Submit
+from ..core.model.job_spec import JobSpec
 from ..wire import users as wire
 
 BODY_S = 5.0
--- a/src/crosscleat/adapters/state_client.py
+++ b/src/crosscleat/adapters/state_client.py
@@ -17,7 +17,8 @@
 import aiohttp
 import msgspec
 
-from ..core.effects import (
+from ..core.model.ids import LeaseId, Version
+from ..core.model.store_calls import (
     Commit,
     Committed,
     Conflict,
@@ -34,7 +35,6 @@
     Touch,
     Watch,
 )
-from ..core.ids import LeaseId, Version
 from ..wire import state as wire
 from .clock import steady
 from .pacer import Pacer
--- a/src/crosscleat/adapters/worker_client.py
+++ b/src/crosscleat/adapters/worker_client.py
@@ -7,9 +7,9 @@
 
 import aiohttp
 
-from ..core.effects import Direct
-from ..core.ids import Session, Token
-from ..core.reports import Report
+from ..core.model.heartbeats import Report
+from ..core.model.ids import Session, Token
+from ..core.model.worker_calls import Direct
 from ..wire import workers as wire
 
 CONNECT_S = 0.8
--- a/src/crosscleat/app.py
+++ b/src/crosscleat/app.py
@@ -20,11 +20,15 @@
 from .adapters.peer_link import Health, Link, PeerServer
 from .adapters.state_client import StateClient
 from .adapters.worker_client import WorkerClient
-from .core.controller import (
+from .core.control.controller import Controller
+from .core.model.cloud_calls import DeleteMachines, ListMachines, ListTypes, Rent
+from .core.model.deployment import Knobs
+from .core.model.effects import Answer, Effect, Later, Note, Part, Propose, Tell
+from .core.model.ids import Member, Session, Token
+from .core.model.inputs import (
     Began,
     CheckIn,
     Completed,
-    Controller,
     Input,
     PartGiven,
     PeerGone,
@@ -33,31 +37,8 @@
     Proposed,
     Tick,
 )
-from .core.effects import (
-    Answer,
-    Commit,
-    DeleteMachines,
-    Direct,
-    Effect,
-    Grant,
-    Later,
-    ListMachines,
-    ListTypes,
-    Note,
-    Orders,
-    Part,
-    Probe,
-    Propose,
-    Read,
-    Rent,
-    Revoke,
-    Scan,
-    Tell,
-    Touch,
-    Watch,
-)
-from .core.ids import Member, Session, Token
-from .core.model import Knobs
+from .core.model.store_calls import Commit, Grant, Read, Revoke, Scan, Touch, Watch
+from .core.model.worker_calls import Direct, Orders, Probe
 from .settings import Settings
 from .wire import peers as peer_wire
 from .wire import workers as worker_wire
--- a/src/crosscleat/cli.py
+++ b/src/crosscleat/cli.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from . import __version__
-from .core.model import Knobs
+from .core.model.deployment import Knobs
 from .settings import SettingsError, load
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
--- a/src/crosscleat/core/budget.py
+++ b/src/crosscleat/core/capacity/budget.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from .ids import Seconds
+from ..model.ids import Seconds
 
 
 class Budget:
--- a/src/crosscleat/core/fleet.py
+++ b/src/crosscleat/core/capacity/fleet.py
@@ -3,68 +3,49 @@
 from __future__ import annotations
 
 import math
-from collections import deque
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from .capacity import fetch_time, fitting, troubled
-from .ids import LONG_AGO, Seconds, Team, TypeName, Zone
-from .jobs import Job
-from .model import JobSpec, Knobs, MachineType, Priority, TeamLimits, is_backfill
-from .placements import Machine
-from .preemption import COUNTED_START_S
+from ..model.cloud import MachineType
+from ..model.deployment import Knobs, TeamLimits, is_backfill
+from ..model.ids import Seconds, Team, TypeName, Zone
+from ..model.job_spec import JobSpec, Priority
+from ..scheduling.free_capacity import fetch_time, fitting, troubled
+from ..scheduling.preemption import COUNTED_START_S
+from ..state.jobs import Job
+from ..state.machine import Machine
+from .demand import Demand
+from .pools import Pool, PoolKey
 
 MOST_PER_RENTAL = 50
 """Machines of one request, by the protocol."""
+
 MOST_PRICED = 100
 """Waiting jobs, the most urgent first, for which one rental looks for the cheapest machines."""
-WINDOW_S = 120.0
-RECENT_S = 45.0
+
 FLOODED = 0.5
+
 PRESSING_BOOTS = 0.5
+
 PRESSING_SLACK = 0.2
+
 DEAR = 1.6
+
 DEAR_IDLE_S = 4.0
+
 SERVED_S = 90.0
 """Tasks without a home for so long have machines rented for them even if dear and late."""
+
 SLOWEST_BOOT = 1.5
 """The longest usual boot, as a multiple of what the machine type says."""
+
 BOOT_SLACK_S = 2.0
 """For the rental request itself and the first report."""
+
 LEAST_CHARGE_S = 60.0
 """A machine that is deleted costs at least so long."""
 
 
-@dataclass(frozen=True, slots=True)
-class PoolKey:
-    """Machines of one type, zone and kind of rental share a capacity."""
-
-    type: TypeName
-    zone: Zone
-    spot: bool
-
-
-@dataclass(slots=True)
-class Pool:
-    """What rentals from a pool have shown of its capacity."""
-
-    refused_until: Seconds = LONG_AGO
-    backoff_s: float = 8.0
-
-    def open(self, now: Seconds) -> bool:
-        """Whether to ask it again by now."""
-        return self.refused_until <= now
-
-    def refuse(self, now: Seconds) -> None:
-        """It had no capacity, or too little."""
-        self.refused_until = Seconds(now + self.backoff_s)
-        self.backoff_s = min(60.0, self.backoff_s * 1.7)
-
-    def granted(self) -> None:
-        """It had all that was asked for."""
-        self.backoff_s = 8.0
-
-
 @dataclass(frozen=True, slots=True)
 class Wanted:
     """A batch to rent from one pool."""
@@ -139,54 +120,6 @@
     return sum(m.type.cpus for m in machines if not m.spot)
 
 
-class Demand:
-    """CPUs asked for over the last while: what the warm room is sized by."""
-
-    def __init__(self) -> None:
-        self._samples: deque[tuple[Seconds, float]] = deque()
-        self._sizes: deque[tuple[Seconds, float]] = deque()
-
-    def sample(self, cpus: float, now: Seconds) -> None:
-        """Note how much is asked for now."""
-        self._samples.append((now, cpus))
-        for kept in (self._samples, self._sizes):
-            while kept and now - kept[0][0] > WINDOW_S:
-                kept.popleft()
-
-    def arrived(self, job: Job, now: Seconds) -> None:
-        """A job came that room is kept for."""
-        self._sizes.append((now, job.spec.cpus * job.spec.tasks))
-
-    def mean(self) -> float:
-        """Of the whole window."""
-        return sum(c for _, c in self._samples) / len(self._samples) if self._samples else 0.0
-
-    def lately(self, now: Seconds) -> float:
-        """The mean of the last `RECENT_S`."""
-        lately = [c for at, c in self._samples if now - at <= RECENT_S]
-        return sum(lately) / len(lately) if lately else 0.0
-
-    def usual(self, now: Seconds) -> float:
-        """What was asked for both lately and over the whole while: no passing burst."""
-        return min(self.mean(), self.lately(now))
-
-    def steady(self, now: Seconds) -> float:
-        """What is nearly always asked for: of what comes and goes, as on a small fleet, little."""
-        return max(0.0, self.usual(now) - self.spread())
-
-    def spread(self) -> float:
-        """Standard deviation in the window."""
-        mean = self.mean()
-        if len(self._samples) < 2:
-            return 0.0
-        return math.sqrt(sum((c - mean) ** 2 for _, c in self._samples) / len(self._samples))
-
-    def one_job(self) -> float:
-        """CPUs that most of those jobs ask for at once."""
-        sizes = sorted(cpus for _, cpus in self._sizes)
-        return sizes[int(len(sizes) * 0.8)] if sizes else 0.0
-
-
 class Fleet:
     """Rents and returns; holds what is known of pools, whose capacity nobody publishes."""
 
--- a/src/crosscleat/core/interruptions.py
+++ b/src/crosscleat/core/capacity/interruptions.py
@@ -4,18 +4,23 @@
 
 import math
 
-from .ids import Seconds
-from .jobs import Job
-from .scoring import Scorer
+from ..model.ids import Seconds
+from ..scheduling.scoring import Scorer
+from ..state.jobs import Job
 
 PRIOR_S = 1800.0
+
 PRIOR_RATE = 1.0 / 3600.0
 """Until more has been seen: one an hour, as if seen on one machine for half an hour."""
+
 MOST_AT_ONCE = 2
 """Of those taken in a second only so many count: a wave says little of the usual rate."""
+
 FORGET_S = 600.0
+
 FOUND_S = 8.0
 """Until a loss is noticed and the task begins again, roughly."""
+
 AT_RISK = 0.25
 
 
--- a/src/crosscleat/core/machines.py
+++ b/src/crosscleat/core/capacity/machines.py
@@ -4,38 +4,71 @@
 
 from collections import deque
 from collections.abc import Callable, Iterable
+from typing import Protocol
 
-from .effects import DeleteMachines, ListMachines
-from .fleet import Fleet, PoolKey
-from .ids import MachineId, Seconds, TypeName, Version, Zone
+from ..election.term import DRIFT, LeadingTerm
+from ..model.cloud import ListedMachine
+from ..model.cloud_calls import DeleteMachines, ListMachines
+from ..model.heartbeats import Report
+from ..model.ids import MachineId, Seconds, TypeName, Version, Zone
+from ..state.allocations import Hold
+from ..state.cluster import Ledger
+from ..state.decommission_records import DropRecords
+from ..state.machine import NOWHERE, UNKNOWN_TYPE, Machine
+from .fleet import Fleet
 from .interruptions import InterruptionStats
-from .liveness import Liveness
-from .placements import NOWHERE, UNKNOWN_TYPE, Hold, Ledger, Machine
-from .records import DropRecords
-from .reports import ListedMachine, Report
-from .term import DRIFT, LeadingTerm
+from .pools import PoolKey
 
 LIST_S = 10.0
 """How often the cloud's list is read."""
+
 LIST_WAIT_S = 2.0
+
 SOON_LIST_S = 3.0
 """The same while it may soon tell of the end of machines that fell silent."""
+
 LISTED_BY_S = 60.0
 """A machine that is missing from the list is gone only when it is older than that."""
+
 TOMBSTONE_S = 900.0
 """For so long a deleted machine's old reports are known for what they are."""
+
 DROP_KEPT_S = 120.0
 """For so long the store names a deleted machine, so that a successor knows them too."""
+
 MOST_DELETED = 100
 """Names in one deletion."""
+
 DELETE_AGAIN_S = 4.0
+
 DELETE_FAILED_AGAIN_S = 1.0
+
 LEASE_SLACK_S = 0.2
+
 BOOT_TIMES = 4.0
+
 BOOT_EXTRA_S = 20.0
 """A machine that is not up after four times its usual boot, and so much more, never comes up."""
 
 
+class SilenceJudge(Protocol):
+    """Says which machines have been silent for too long (`control.liveness.Liveness`)."""
+
+    @property
+    def silent_s(self) -> float:
+        """Silence after which a machine is given up."""
+
+    @property
+    def quiet_s(self) -> float:
+        """Silence after which a machine counts as silent."""
+
+    def silent(self, machine: Machine, now: Seconds) -> bool:
+        """Whether to give the machine up for its silence."""
+
+    def given_up(self, machine: Machine, now: Seconds) -> None:
+        """The machine was deleted for its silence."""
+
+
 class Machines:
     """Enters, describes, lists, returns and deletes the machines in the ledger."""
 
@@ -178,7 +211,7 @@
 
     # Watching them
 
-    liveness: Liveness
+    liveness: SilenceJudge
     """Set by the leader, once both exist."""
 
     def usable(self, machine: Machine, now: Seconds) -> bool:
--- a/src/crosscleat/core/renting.py
+++ b/src/crosscleat/core/capacity/scaling.py
@@ -4,22 +4,27 @@
 
 from collections.abc import Callable, Iterable
 
+from ..election.term import LeadingTerm
+from ..model.cloud_calls import Rent
+from ..model.ids import JobRef, MachineId, Seconds
+from ..scheduling.scoring import Scorer
+from ..state.cluster import Ledger
+from ..state.jobs import Job
+from ..state.machine import Machine
 from .budget import Budget
-from .effects import Rent
-from .fleet import Fleet, PoolKey, Wanted
-from .ids import JobRef, MachineId, Seconds
+from .fleet import Fleet, Wanted
 from .interruptions import InterruptionStats
-from .jobs import Job
-from .placements import Ledger, Machine
-from .scoring import Scorer
-from .term import LeadingTerm
+from .pools import PoolKey
 
 ADJUST_S = 1.0
 """How often the fleet is looked at; sooner after a rental was answered."""
+
 MOST_TRIES = 4
 """A rental without an answer is repeated so often, under its name."""
+
 HEARD_S = 3.0
 """A new leader rents nothing for so long at the most, while machines report to it."""
+
 HEARD_REPORTS = 1.3
 
 
--- a/src/crosscleat/core/commands.py
+++ b/src/crosscleat/core/control/commands.py
@@ -5,21 +5,26 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 
-from . import reports
-from .effects import ClearOrder, Direct, Order, Orders, Probe, StartOrder, StopOrder
-from .ids import NO_TOKEN, Attempt, JobRef, MachineId, Seconds, Session, TaskId, Token
-from .jobs import Job
-from .model import Shape
-from .placements import AttemptKey, Hold, Ledger, Machine
-from .reports import Report
-from .term import LeadingTerm
+from ..election.term import LeadingTerm
+from ..model import heartbeats
+from ..model.heartbeats import Report
+from ..model.ids import NO_TOKEN, Attempt, JobRef, MachineId, Seconds, Session, TaskId, Token
+from ..model.job_spec import Shape
+from ..model.worker_calls import ClearOrder, Direct, Order, Orders, Probe, StartOrder, StopOrder
+from ..state.allocations import AttemptKey, Hold
+from ..state.cluster import Ledger
+from ..state.jobs import Job
+from ..state.machine import Machine
 
 MOST_ORDERS = 300
 """In one message; the rest follows with the next."""
+
 MOST_GREETED = 30
 """Machines that a new leader sends a first message, in a tenth of a second."""
+
 DIRECT_PAUSE_S = 1.5
 """After a direct message without an answer, doubled with each more, up to the next."""
+
 MOST_DIRECT_PAUSE_S = 48.0
 
 
@@ -108,7 +113,7 @@
             return False
         # A direct start may come twice even if it was answered. A result is kept, so a task that
         # is done can be started again without harm.
-        harmless = machine.exited[key] == reports.DONE
+        harmless = machine.exited[key] == heartbeats.DONE
         repeated = NO_TOKEN if harmless else machine.direct_starts.get(key, NO_TOKEN)
         if machine.shown_token <= max(machine.risk_token, repeated):
             self._want_rotation(machine)
--- a/src/crosscleat/core/controller.py
+++ b/src/crosscleat/core/control/controller.py
@@ -5,141 +5,43 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from random import Random
-from typing import Any
 
-import msgspec
-
-from .effects import (
-    Answer,
-    Effect,
-    Item,
-    Later,
-    Listing,
-    ListTypes,
-    News,
-    Outbox,
-    Propose,
-    Scan,
-    Tell,
-    Watch,
+from ..election.election import Election
+from ..election.upgrade import Upgrade
+from ..model.cloud import MachineType
+from ..model.cloud_calls import ListTypes
+from ..model.deployment import Deployment
+from ..model.effects import Answer, Effect, Later, Outbox, Propose, Tell
+from ..model.ids import LONG_AGO, Member, Seconds, Token, TypeName, Version, WallTime
+from ..model.inputs import (
+    Abort,
+    Began,
+    CheckIn,
+    Completed,
+    Input,
+    PartGiven,
+    PeerGone,
+    Poll,
+    Probed,
+    Progress,
+    Proposed,
+    Refuse,
+    Submit,
+    Tick,
 )
-from .election import Election
-from .ids import LONG_AGO, JobRef, Member, Seconds, Token, TypeName, Version, WallTime
-from .jobs import FORMAT, LIVE
+from ..model.store_calls import Item, Listing, News, Scan, Watch
+from ..scheduling.sharding import plan
+from ..state.keys import DROP, FORMAT, LIVE, WORK
+from ..state.placement_records import span_of
 from .leader import Leader
-from .model import Deployment, JobSpec, MachineType
-from .partitioning import Proposal, View, plan
-from .records import DROP, WORK, span_of
-from .reports import Report
-from .upgrade import Upgrade
 from .user_requests import UserRequests
 
 PROGRESS_S = 1.0
-TYPES_S = 60.0
-WATCH_S = 1.0
-
-
-class Tick(msgspec.Struct, frozen=True):
-    """A tenth of a second has passed."""
-
-
-class Began(msgspec.Struct, frozen=True):
-    """The process is up."""
-
-
-class Completed(msgspec.Struct, frozen=True):
-    """A call's result, or the end of a delay: run its continuation."""
-
-    then: Callable[..., None]
-    results: tuple[Any, ...] = ()
-
-
-class Submit(msgspec.Struct, frozen=True):
-    """A user submits a job."""
-
-    request: int
-    spec: JobSpec
-
-
-class Refuse(msgspec.Struct, frozen=True):
-    """A submission that is malformed, with its job's name if that much is readable."""
-
-    request: int
-    ref: JobRef | None
-    status: int
-
-
-class Poll(msgspec.Struct, frozen=True):
-    """A user asks about a job."""
-
-    request: int
-    ref: JobRef
-
-
-class Abort(msgspec.Struct, frozen=True):
-    """A user cancels a job."""
-
-    request: int
-    ref: JobRef
-
-
-class CheckIn(msgspec.Struct, frozen=True):
-    """A worker's report, received here or relayed by another controller."""
-
-    request: int
-    report: Report
-    relayed: bool = False
-
-
-class Probed(msgspec.Struct, frozen=True):
-    """A worker's report that another controller brought at our request."""
-
-    report: Report
-
-
-class Progress(msgspec.Struct, frozen=True):
-    """The leader's counts of done and running tasks, for display."""
-
-    counts: dict[str, tuple[int, int]]
-
-
-class PartGiven(msgspec.Struct, frozen=True):
-    """A leader asks us to plan our part of a round."""
-
-    member: Member
-    view: View
-
-
-class Proposed(msgspec.Struct, frozen=True):
-    """An owner's choices for its part."""
-
-    member: Member
-    proposal: Proposal
-
-
-class PeerGone(msgspec.Struct, frozen=True):
-    """A peer's link closed and its address refuses connections: its process may have ended."""
-
-    member: Member
 
+TYPES_S = 60.0
 
-Input = (
-    Tick
-    | Began
-    | Completed
-    | Submit
-    | Refuse
-    | Poll
-    | Abort
-    | CheckIn
-    | Probed
-    | Progress
-    | PartGiven
-    | Proposed
-    | PeerGone
-)
+WATCH_S = 1.0
 
 
 class Controller:
--- a/src/crosscleat/core/gang_control.py
+++ b/src/crosscleat/core/control/gang_control.py
@@ -4,13 +4,15 @@
 
 from collections.abc import Callable, Iterator
 
-from .capacity import Choice
-from .gangs import OnNotice, Phase, may_replace, on_notice, phase_of
-from .ids import JobRef, Seconds
-from .jobs import Job
-from .placements import Hold, Ledger, Machine
-from .scoring import Scorer
-from .term import LeadingTerm
+from ..election.term import LeadingTerm
+from ..model.ids import JobRef, Seconds
+from ..scheduling.free_capacity import Choice
+from ..scheduling.scoring import Scorer
+from ..state.allocations import Hold
+from ..state.cluster import Ledger
+from ..state.gangs import OnNotice, Phase, may_replace, on_notice, phase_of
+from ..state.jobs import Job
+from ..state.machine import Machine
 
 
 def holds_of(ledger: Ledger, job: Job, but: int | None = None) -> Iterator[tuple[Machine, Hold]]:
--- a/src/crosscleat/core/leader.py
+++ b/src/crosscleat/core/control/leader.py
@@ -10,64 +10,74 @@
 from collections.abc import Iterable
 from random import Random
 
-from . import reports
-from .capacity import troubled
+from ..capacity.fleet import Fleet
+from ..capacity.interruptions import InterruptionStats
+from ..capacity.machines import Machines
+from ..capacity.scaling import Renting
+from ..election.election import Election
+from ..election.term import LeadingTerm
+from ..model import heartbeats
+from ..model.cloud import MachineType
+from ..model.deployment import Deployment, is_backfill
+from ..model.effects import Answer, Outbox
+from ..model.heartbeats import Report, TaskReport, unknown_words
+from ..model.ids import Attempt, JobRef, Seconds, TaskId, Token, TypeName, WallTime
+from ..model.job_spec import Shape
+from ..model.store_calls import Item
+from ..scheduling.free_capacity import troubled
+from ..scheduling.scoring import RunTimes, Scorer
+from ..state.allocations import Hold
+from ..state.cluster import Ledger
+from ..state.decommission_records import DropRecords
+from ..state.job_records import spec_of
+from ..state.jobs import Job
+from ..state.machine import Machine
+from ..state.placement_records import WorkRecords
 from .commands import Commands
-from .effects import Answer, Item, Outbox
-from .election import Election
-from .fleet import Fleet
 from .gang_control import GangControl, holds_of
-from .ids import (
-    Attempt,
-    JobRef,
-    Seconds,
-    TaskId,
-    Token,
-    TypeName,
-    WallTime,
-)
-from .interruptions import InterruptionStats
-from .jobs import Job, spec_of
 from .liveness import UNBROKEN_LEASES, Liveness
-from .machines import Machines
-from .model import Deployment, MachineType, Shape, is_backfill
-from .placements import Hold, Ledger, Machine
-from .records import DropRecords, WorkRecords
-from .renting import Renting
-from .reports import Report, TaskReport, unknown_words
-from .scheduling import Scheduling
-from .scoring import RunTimes, Scorer
-from .term import LeadingTerm
+from .scheduler import Scheduling
 from .writer import Writer
 
 SLOW_START_S = 2.0
 """Starts later than that are logged."""
+
 SUSPECT_JOBS = 2
 """A machine on which so many jobs failed is taken for faulty."""
-AT_ONCE = (None, reports.STOPPED, reports.MATES_GONE, reports.INCOMPLETE)
+
+AT_ONCE = (None, heartbeats.STOPPED, heartbeats.MATES_GONE, heartbeats.INCOMPLETE)
 """Ends that say nothing against the task or its machine: it may be placed again at once."""
+
 FULL_PAUSE_S = 4.0
 """For so long nothing is placed on a machine that refused a start for lack of room."""
+
 REFUSED_PAUSE_S = 0.3
 """Before a task that was refused for lack of room is tried elsewhere."""
+
 ENDED_PAUSE_S = 2.0
 """Before a task is tried again that ended in another way."""
+
 MOST_FAILED_PAUSE_S = 60.0
 """The longest pause of a task that fails again and again."""
+
 FIRST_ATTEMPT = Attempt(1)
+
 MOST_UNKNOWN_WORDS = 100
 """Of reports' unknown states and causes so many are remembered and logged."""
+
 IN_TIME_SHARE = 0.7
 """A run that is estimated to end within this part of a notice is let go on."""
+
 SAVE_SHARE = 0.5
 """A task saves on a notice if that takes no more than this part of it."""
 
-
 MOST_COUNTS = 5_000
 """Jobs whose counts one message shows; others follow with the next."""
+
 WATCHED_PER_S = 10_000
 """Looks at machines' silence, leases and idleness in a second: up to a thousand machines at every
 tick, more of them less often."""
+
 TICK_SLACK_S = 0.05
 """Ticks are a tenth of a second apart, give or take."""
 
@@ -404,14 +414,14 @@
                 self.gone(machine, hold, now, None)
             return
         hold.listed = hold.sent = True
-        if task.state == reports.EXITED:
+        if task.state == heartbeats.EXITED:
             self._exited(machine, hold, task, now)
             return
         hold.state = task.state
         job = self.jobs.get(hold.task.job)
-        if job is not None and job.gang and task.state == reports.WAITING:
+        if job is not None and job.gang and task.state == heartbeats.WAITING:
             job.progress.waits(now)
-        if task.state == reports.RUNNING and hold.running_since is None:
+        if task.state == heartbeats.RUNNING and hold.running_since is None:
             self._runs(machine, hold, job, now)
 
     def _runs(self, machine: Machine, hold: Hold, job: Job | None, now: Seconds) -> None:
@@ -434,7 +444,7 @@
 
     def _exited(self, machine: Machine, hold: Hold, task: TaskReport, now: Seconds) -> None:
         cause = task.cause or ""
-        if cause == reports.DONE:
+        if cause == heartbeats.DONE:
             self._learn_run_time(hold, now)
             machine.errors.clear()
         job = self.jobs.get(hold.task.job)
@@ -466,7 +476,7 @@
             return
         job.idle_since = now
         self.work.of(job, job.chunk_of(number)).want(None, now)
-        if cause == reports.DONE or (job.gang and job.done_count):
+        if cause == heartbeats.DONE or (job.gang and job.done_count):
             self._finish(job, number)
         elif job.aborted:
             job.requeue(number, None)
@@ -491,9 +501,9 @@
         if cause in AT_ONCE:
             return None
         pause_s = ENDED_PAUSE_S
-        if cause == reports.ERROR:
+        if cause == heartbeats.ERROR:
             pause_s = self._failed(machine, job, number)
-        elif cause == reports.NO_ROOM:
+        elif cause == heartbeats.NO_ROOM:
             machine.full_until = Seconds(now + FULL_PAUSE_S)
             if job.gang:
                 # The others may wait for it.
@@ -620,7 +630,7 @@
             hold.task.job
             for machine in self.ledger.machines.values()
             for hold in machine.holds.values()
-            if hold.state == reports.RUNNING
+            if hold.state == heartbeats.RUNNING
         )
         changed: dict[str, tuple[int, int]] = {}
         for job in self.jobs.values():
--- a/src/crosscleat/core/liveness.py
+++ b/src/crosscleat/core/control/liveness.py
@@ -10,26 +10,40 @@
 from collections import Counter
 from collections.abc import Callable
 
-from .election import Election
-from .ids import MachineId, Seconds, Zone
-from .model import Deployment
-from .placements import Ledger, Machine
-from .reports import Report
+from ..election.election import Election
+from ..model.deployment import Deployment
+from ..model.heartbeats import Report
+from ..model.ids import MachineId, Seconds, Zone
+from ..state.cluster import Ledger
+from ..state.machine import Machine
 
 CUT_OFF_SHARE = 0.1
+
 CUT_OFF_S = 2.0
+
 UNHEARD_S = 5.0
+
 LEAST_UNHEARD_S = 1.2
+
 UNHEARD_REPORTS = 25
+
 UNHEARD_TICKS = 10
+
 ASK_SHARE = 0.4
+
 UNBROKEN_LEASES = 0.6
+
 MOST_PROBES = 6
+
 PROBE_S = 1.5
+
 MUTED_S = 20.0
+
 DEAF_S = 2.0
+
 MANY_SHARE = 0.1
 """So many that fall silent did not all end, nor are so many deaf."""
+
 REST_S = 10.0
 """How long a leader that workers don't hear leaves the lead to others."""
 
--- a/src/crosscleat/core/scheduling.py
+++ b/src/crosscleat/core/control/scheduler.py
@@ -6,24 +6,27 @@
 from itertools import groupby
 from random import Random
 
-from .capacity import Choice, fetch_time, within
-from .fleet import Fleet
+from ..capacity.fleet import Fleet
+from ..capacity.machines import Machines
+from ..election.term import LeadingTerm
+from ..model.ids import JobRef, Member, Seconds
+from ..model.shards import Proposal
+from ..scheduling.cycle import MOST_CHOICES, Round
+from ..scheduling.free_capacity import Choice, fetch_time, within
+from ..scheduling.preemption import INTERVAL_S, Preemption
+from ..scheduling.scoring import RunTimes, Scorer
+from ..scheduling.shard_dispatch import WorkSharing
+from ..state.allocations import Hold
+from ..state.cluster import Ledger
+from ..state.jobs import Job
+from ..state.machine import Machine
+from ..state.placement_records import WorkRecords
 from .gang_control import GangControl, holds_of
-from .ids import JobRef, Member, Seconds
-from .jobs import Job
-from .machines import Machines
-from .partitioning import Proposal
-from .placements import Hold, Ledger, Machine
-from .preemption import INTERVAL_S, Preemption
-from .records import WorkRecords
-from .rounds import MOST_CHOICES, Round
-from .scoring import RunTimes, Scorer
-from .term import LeadingTerm
-from .work_sharing import WorkSharing
 from .writer import Writer
 
 PROMPT_MACHINES = 1_500
 """With more machines rounds follow each other less closely, as each looks at all of them."""
+
 PROMPT_JOBS = 250
 """The same with more jobs."""
 
--- a/src/crosscleat/core/user_requests.py
+++ b/src/crosscleat/core/control/user_requests.py
@@ -13,31 +13,35 @@
 
 import msgspec
 
-from .effects import (
-    Answer,
+from ..model.cloud import MachineType
+from ..model.deployment import Deployment, team_can_hold
+from ..model.effects import Answer, Later, Outbox
+from ..model.ids import ABSENT, LONG_AGO, JobRef, Seconds, TypeName, Version, WallTime
+from ..model.job_spec import JobSpec, Shape
+from ..model.store_calls import (
     Commit,
     Committed,
     Conflict,
     Found,
     Item,
-    Later,
     Listing,
     News,
     NoSuchLease,
-    Outbox,
     Put,
     Read,
     Record,
     Scan,
     Watch,
 )
-from .ids import ABSENT, LONG_AGO, JobRef, Seconds, TypeName, Version, WallTime
-from .jobs import LIVE, ended_key, live_key, live_record, spec_of
-from .model import Deployment, JobSpec, MachineType, Shape, team_can_hold
+from ..state.job_records import live_record, spec_of
+from ..state.keys import LIVE, ended_key, live_key
 
 KNOWN_ENDED = 20_000
+
 CANCEL_TRIES = 6
+
 RETRY_S = 1
+
 LOOK_S = 0.05
 """Least time between two looks at the changes: it bounds our part of the store's requests."""
 
--- a/src/crosscleat/core/writer.py
+++ b/src/crosscleat/core/control/writer.py
@@ -10,22 +10,28 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 
-from .batch import Batch
-from .effects import Commit, Committed, Conflict, Found, Item, NoSuchLease, Read
-from .ids import JobRef, Seconds, Token, Version
-from .jobs import Job, live_key
-from .placements import Ledger
-from .records import DropRecords, WorkRecord, WorkRecords
-from .term import LeadingTerm
+from ..election.term import LeadingTerm
+from ..model.ids import JobRef, Seconds, Token, Version
+from ..model.store_calls import Commit, Committed, Conflict, Found, Item, NoSuchLease, Read
+from ..state.batch import Batch
+from ..state.cluster import Ledger
+from ..state.decommission_records import DropRecords
+from ..state.jobs import Job
+from ..state.keys import live_key
+from ..state.placement_records import WorkRecord, WorkRecords
 
 LAZY_S = 0.8
 """How often what only spares a successor some work is written."""
+
 LAZY_WRITES = 4
 """So many such writes at a time."""
+
 ENDS_WRITES = 6
 """Writes that say which jobs have ended, at a time."""
+
 MOST_DROPS = 100
 """Machines whose deletion one transaction records."""
+
 ROTATE_S = 3.0
 """Least time between two new tokens."""
 
--- a/src/crosscleat/core/election.py
+++ b/src/crosscleat/core/election/election.py
@@ -9,7 +9,9 @@
 from collections.abc import Callable
 from random import Random
 
-from .effects import (
+from ..model.effects import Outbox
+from ..model.ids import ABSENT, LONG_AGO, LeaseId, Member, Seconds, Token, Version
+from ..model.store_calls import (
     Commit,
     Committed,
     Conflict,
@@ -17,7 +19,6 @@
     Grant,
     News,
     NoSuchLease,
-    Outbox,
     Put,
     Read,
     Record,
@@ -25,12 +26,14 @@
     Touch,
     Watch,
 )
-from .ids import ABSENT, LONG_AGO, LeaseId, Member, Seconds, Token, Version
+from ..state.keys import LEADER
 
-LEADER = "leader"
 LIFE_S = 3.0
+
 RENEW_S = 0.8
+
 WATCH_S = 4.0
+
 UNSEAT_PAUSE_S = 20.0
 
 
--- a/src/crosscleat/core/term.py
+++ b/src/crosscleat/core/election/term.py
@@ -2,15 +2,17 @@
 
 from __future__ import annotations
 
-from .effects import Outbox
+from ..model.deployment import Deployment
+from ..model.effects import Outbox
+from ..model.ids import Seconds
 from .election import Election
-from .ids import Seconds
-from .model import Deployment
 
 MARGIN_S = 1.5
 """Kept free of cancel_s for messages and timers."""
+
 DRIFT = 1.001
 """Twice the 0.05% by which two steady clocks may differ, with a little to spare."""
+
 START_CONTACT_S = 3.0
 """With a last contact older than that nothing is started or rented."""
 
--- a/src/crosscleat/core/upgrade.py
+++ b/src/crosscleat/core/election/upgrade.py
@@ -10,22 +10,13 @@
 
 from collections.abc import Callable, Iterable
 
-from .effects import (
-    Commit,
-    Committed,
-    Conflict,
-    Item,
-    Later,
-    Listing,
-    NoSuchLease,
-    Outbox,
-    Put,
-    Scan,
-)
-from .ids import ABSENT, Member
-from .jobs import FORMAT
+from ..model.effects import Later, Outbox
+from ..model.ids import ABSENT, Member
+from ..model.store_calls import Commit, Committed, Conflict, Item, Listing, NoSuchLease, Put, Scan
+from ..state.keys import FORMAT
 
 VERSION = 2
+
 AGAIN_S = 1.0
 
 
--- /dev/null
+++ b/src/crosscleat/core/model/cloud.py
@@ -0,0 +1,52 @@
+"""Machine types and machines as the cloud describes them."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import msgspec
+
+from .ids import MachineId, TypeName, Zone
+from .job_spec import JobSpec
+
+
+@dataclass(frozen=True, slots=True)
+class MachineType:
+    """A machine type as the cloud describes it."""
+
+    name: TypeName
+    cpus: float
+    gpus: float
+    memory_gb: float
+    cache_gb: float
+    fetch_gb_per_s: float
+    price: float
+    spot_price: float
+    boot_s: float
+    zones: tuple[Zone, ...]
+
+    def price_for(self, spot: bool) -> float:
+        """Price per hour on the spot market or not."""
+        return self.spot_price if spot else self.price
+
+    def holds(self, job: JobSpec) -> bool:
+        """Whether one task of the job fits on an empty machine of this type."""
+        return (
+            job.cpus <= self.cpus
+            and job.gpus <= self.gpus
+            and job.memory_gb <= self.memory_gb
+            and (job.types is None or self.name in job.types)
+            and (job.zone is None or job.zone in self.zones)
+        )
+
+
+class ListedMachine(msgspec.Struct, frozen=True):
+    """A machine as the cloud's list shows it, some seconds late."""
+
+    id: MachineId
+    address: str
+    type: TypeName
+    zone: Zone
+    spot: bool
+    state: str
+    age_s: float
--- a/src/crosscleat/core/model.py
+++ b/src/crosscleat/core/model/deployment.py
@@ -2,93 +2,10 @@
 
 from __future__ import annotations
 
-import enum
-import math
 from dataclasses import dataclass, field
 
-import msgspec
-
-from .ids import Image, JobRef, Member, Team, TypeName, Zone
-
-
-class Priority(enum.IntEnum):
-    """Order of precedence of jobs."""
-
-    LOW = 0
-    NORMAL = 1
-    HIGH = 2
-    PRODUCTION = 3
-
-
-class Shape(enum.IntEnum):
-    """How the tasks of a job belong together."""
-
-    ARRAY = 0
-    """Independent tasks, each runs to completion."""
-    GANG = 1
-    """Tasks that run together or not at all."""
-    SERVICE = 2
-    """On no page, but the bench submits one and expects it to run (`docs/questions.md`); its tasks
-    are run as those of an array."""
-
-
-class JobSpec(msgspec.Struct, array_like=True, frozen=True):
-    """A job as its user described it. Kept in the store in this order of fields."""
-
-    ref: JobRef
-    job_class: str
-    team: Team
-    priority: Priority
-    tasks: int
-    cpus: float
-    gpus: float
-    memory_gb: float
-    image: Image
-    image_gb: float
-    types: tuple[TypeName, ...] | None
-    zone: Zone | None
-    one_zone: bool
-    spread: bool
-    spot: bool
-    estimate_s: float
-    checkpoint_s: float
-    save_s: float
-    deadline_s: float | None
-    shape: Shape = Shape.ARRAY
-
-    def per_zone(self) -> int:
-        """How many of the tasks may be in one zone at a time."""
-        return math.ceil(self.tasks / 2) if self.spread else self.tasks
-
-
-@dataclass(frozen=True, slots=True)
-class MachineType:
-    """A machine type as the cloud describes it."""
-
-    name: TypeName
-    cpus: float
-    gpus: float
-    memory_gb: float
-    cache_gb: float
-    fetch_gb_per_s: float
-    price: float
-    spot_price: float
-    boot_s: float
-    zones: tuple[Zone, ...]
-
-    def price_for(self, spot: bool) -> float:
-        """Price per hour on the spot market or not."""
-        return self.spot_price if spot else self.price
-
-    def holds(self, job: JobSpec) -> bool:
-        """Whether one task of the job fits on an empty machine of this type."""
-        return (
-            job.cpus <= self.cpus
-            and job.gpus <= self.gpus
-            and job.memory_gb <= self.memory_gb
-            and (job.types is None or self.name in job.types)
-            and (job.zone is None or job.zone in self.zones)
-        )
+from .ids import Member, Team
+from .job_spec import JobSpec, Priority, Shape
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/crosscleat/core/reports.py
+++ b/src/crosscleat/core/model/heartbeats.py
@@ -7,21 +7,32 @@
 from .ids import Attempt, MachineId, Seen, TaskId, TypeName, Zone
 
 EXITED = "exited"
+
 RUNNING = "running"
+
 FETCHING = "fetching"
+
 WAITING = "waiting"
 """A gang's task that has its image and waits for the others."""
+
 SAVING = "saving"
+
 STATES = frozenset((EXITED, RUNNING, FETCHING, WAITING, SAVING))
 
 DONE = "done"
+
 STOPPED = "stopped"
+
 ERROR = "error"
+
 NO_ROOM = "no_room"
+
 MATES_GONE = "mates_gone"
 """Another task of the running gang was gone."""
+
 INCOMPLETE = "incomplete"
 """The gang was not complete in time."""
+
 CAUSES = frozenset((DONE, STOPPED, ERROR, NO_ROOM, "busy", "no_such", MATES_GONE, INCOMPLETE))
 
 
@@ -55,15 +66,3 @@
     states = {task.state for task in report.tasks} - STATES
     causes = {task.cause for task in report.tasks if task.cause is not None} - CAUSES
     return states | causes
-
-
-class ListedMachine(msgspec.Struct, frozen=True):
-    """A machine as the cloud's list shows it, some seconds late."""
-
-    id: MachineId
-    address: str
-    type: TypeName
-    zone: Zone
-    spot: bool
-    state: str
-    age_s: float
--- a/src/crosscleat/core/ids.py
+++ b/src/crosscleat/core/model/ids.py
@@ -6,23 +6,34 @@
 from typing import NamedTuple, NewType
 
 JobRef = NewType("JobRef", str)
+
 MachineId = NewType("MachineId", str)
+
 TypeName = NewType("TypeName", str)
+
 Zone = NewType("Zone", str)
+
 Team = NewType("Team", str)
+
 Image = NewType("Image", str)
+
 Member = NewType("Member", str)
 
 Version = NewType("Version", int)
 """Revision of a key's last change in the store; 0 means that the key does not exist."""
+
 Token = NewType("Token", int)
 """Version of the leader key: the higher one is entitled to command."""
+
 Attempt = NewType("Attempt", int)
+
 Session = NewType("Session", int)
+
 LeaseId = NewType("LeaseId", int)
 
 Seconds = NewType("Seconds", float)
 """A point on, or a length of, this process's steady clock."""
+
 WallTime = NewType("WallTime", float)
 
 _JOB_REF = re.compile(r"job-[0-9A-Za-z._-]{1,120}\Z")
@@ -54,8 +65,11 @@
 
 
 NEVER = Seen(Session(0), 0)
+
 LONG_AGO = Seconds(0.0)
+
 ABSENT = Version(0)
+
 NO_TOKEN = Token(0)
 
 
--- /dev/null
+++ b/src/crosscleat/core/model/shards.py
@@ -0,0 +1,55 @@
+"""What a leader sends a shard's owner to plan, and what the owner proposes."""
+
+from __future__ import annotations
+
+import msgspec
+
+from .ids import Image, JobRef, MachineId, Team, TypeName, Zone
+from .job_spec import JobSpec, Priority
+
+
+class JobView(msgspec.Struct, array_like=True, frozen=True):
+    """What an owner needs to know of a waiting job."""
+
+    spec: JobSpec
+    age_s: float
+    waiting: int
+    failed_on: tuple[MachineId, ...]
+    zones: dict[Zone, int]
+    at_risk: bool
+
+
+class RoomView(msgspec.Struct, array_like=True, frozen=True):
+    """What an owner needs to know of a machine with room."""
+
+    machine: MachineId
+    type: TypeName
+    zone: Zone
+    spot: bool
+    used_cpus: float
+    used_gpus: float
+    used_memory: float
+    images: dict[Image, float]
+    """Those it has or fetches, with the seconds until they are there."""
+    reservation: tuple[JobRef, Priority, float] | None
+    """Whose large tasks it is emptied for: the job, its priority and its age."""
+
+
+class View(msgspec.Struct, array_like=True, frozen=True):
+    """What an owner needs to plan its part."""
+
+    number: int
+    jobs: tuple[JobView, ...]
+    rooms: tuple[RoomView, ...]
+    shares: dict[Team, tuple[float, float]]
+    """CPUs and GPUs that the part may use of each team's limit; a team left out has none."""
+    reserve: float
+    factors: dict[str, float]
+    """By how much estimates are off, by class."""
+
+
+class Proposal(msgspec.Struct, array_like=True, frozen=True):
+    """An owner's choices for the part that it was given under this number."""
+
+    number: int
+    choices: tuple[tuple[JobRef, MachineId], ...]
--- /dev/null
+++ b/src/crosscleat/core/model/store_calls.py
@@ -0,0 +1,134 @@
+"""Calls to the state service and their results."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import msgspec
+
+from .ids import LeaseId, Version
+
+Record = Any
+"""Plain data as the store keeps it: maps, lists, text, numbers."""
+
+
+class Item(msgspec.Struct, frozen=True):
+    """A key of the store with its value and version."""
+
+    key: str
+    value: Record
+    version: Version
+
+
+class Put(msgspec.Struct, frozen=True):
+    """Write a key, under a lease or none."""
+
+    key: str
+    value: Record
+    lease: LeaseId | None = None
+
+
+class Remove(msgspec.Struct, frozen=True):
+    """Remove a key."""
+
+    key: str
+
+
+class Committed(msgspec.Struct, frozen=True):
+    """The transaction was carried out."""
+
+    revision: Version
+
+
+class Conflict(msgspec.Struct, frozen=True):
+    """The keys in `failed` had other versions; nothing was written."""
+
+    failed: frozenset[str]
+    repeated: bool
+    """An earlier try of the same request may have been the one that changed the keys."""
+
+
+class NoSuchLease(msgspec.Struct, frozen=True):
+    """The lease had ended; nothing was written."""
+
+
+class Found(msgspec.Struct, frozen=True):
+    """A key as it was at the revision; `item` is None if it does not exist."""
+
+    item: Item | None
+    revision: Version
+
+
+class Listing(msgspec.Struct, frozen=True):
+    """All keys with a prefix as they were at the revision."""
+
+    items: list[Item]
+    revision: Version
+
+
+class News(msgspec.Struct, frozen=True):
+    """Changes after a revision; a version of 0 marks a removed key. `lost`: reread everything."""
+
+    revision: Version
+    changes: list[Item]
+    lost: bool = False
+
+
+class Commit(msgspec.Struct, frozen=True):
+    """A transaction: the writes are done if all keys have the given versions."""
+
+    conditions: tuple[tuple[str, Version], ...]
+    writes: tuple[Put | Remove, ...]
+    then: Callable[[Committed | Conflict | NoSuchLease | None], None]
+    patience_s: float = 2.0
+    for_user: bool = False
+    """A user waits: may share a transaction with others, and fails at once without a store."""
+
+
+class Read(msgspec.Struct, frozen=True):
+    """Read one key."""
+
+    key: str
+    then: Callable[[Found | None], None]
+    patience_s: float = 1.5
+    for_user: bool = False
+
+
+class Scan(msgspec.Struct, frozen=True):
+    """Read all keys with the prefix."""
+
+    prefix: str
+    then: Callable[[Listing | None], None]
+    for_user: bool = False
+
+
+class Watch(msgspec.Struct, frozen=True):
+    """Wait for changes below the prefix after a revision, up to `block_s`."""
+
+    prefix: str
+    after: Version
+    block_s: float
+    then: Callable[[News | None], None]
+    for_user: bool = False
+
+
+class Grant(msgspec.Struct, frozen=True):
+    """Ask for a lease."""
+
+    life_s: float
+    then: Callable[[LeaseId | None], None]
+
+
+class Touch(msgspec.Struct, frozen=True):
+    """Renew a lease."""
+
+    lease: LeaseId
+    then: Callable[[bool | None], None]
+    """True: renewed. False: the lease has ended."""
+
+
+class Revoke(msgspec.Struct, frozen=True):
+    """End a lease at once."""
+
+    lease: LeaseId
--- /dev/null
+++ b/src/crosscleat/core/model/worker_calls.py
@@ -0,0 +1,62 @@
+"""Commands to workers, in the responses to their heartbeats and sent directly."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import msgspec
+
+from .ids import Session, Token
+
+
+class StartOrder(msgspec.Struct, frozen=True):
+    """Start an attempt of a task."""
+
+    task: str
+    attempt: int
+
+
+class StopOrder(msgspec.Struct, frozen=True):
+    """Stop an attempt, which may save for so long."""
+
+    task: str
+    attempt: int
+    grace_s: float
+
+
+class ClearOrder(msgspec.Struct, frozen=True):
+    """Forget an exited attempt."""
+
+    task: str
+    attempt: int
+
+
+Order = StartOrder | StopOrder | ClearOrder
+
+
+class Direct(msgspec.Struct, frozen=True):
+    """Orders sent straight to a worker."""
+
+    address: str
+    token: Token
+    session: Session
+    orders: tuple[Order, ...]
+    then: Callable[[Any, bool], None]
+    """The worker's report, or None; and whether the orders may still reach the worker."""
+
+
+class Probe(msgspec.Struct, frozen=True):
+    """Asks the other controllers to bring the report of a worker that we do not hear."""
+
+    address: str
+    token: Token
+    session: Session
+
+
+class Orders(msgspec.Struct, frozen=True):
+    """The answer to one worker's check-in."""
+
+    request: int
+    token: Token
+    orders: tuple[Order, ...]
--- a/src/crosscleat/core/rounds.py
+++ b/src/crosscleat/core/scheduling/cycle.py
@@ -12,26 +12,31 @@
 from collections.abc import Iterable
 from random import Random
 
-from .capacity import Choice, Reservation, Room, fetch_time, troubled
+from ..model.deployment import TeamLimits
+from ..model.ids import JobRef, MachineId, Seconds, Team, TypeName
+from ..state.cluster import Ledger
+from ..state.jobs import Job
+from ..state.machine import Machine
 from .feasibility import Feasibility
+from .free_capacity import Choice, Reservation, Room, fetch_time, troubled
 from .gang_placement import GangPlacer
-from .ids import JobRef, MachineId, Seconds, Team, TypeName
-from .jobs import Job
-from .model import TeamLimits
-from .placements import Ledger, Machine
 from .reservations import reserve_machines, reserve_ordinary
 from .scoring import Scorer
 
 MOST_JOBS = 120
 """Jobs that one round looks at if there are more than twice as many: half of them the best by
 utility, half a sample of the others."""
+
 MOST_PAIRS = 12_000
 """Pairs of a job and a machine that one round looks at; beyond it machines are sampled, as the
 users want under overload."""
+
 LEAST_SAMPLE = 24
 """Machines that each job looks at, however many jobs there are: also one of a sample of jobs."""
+
 MOST_CHOICES = 48
 """Choices of one round; the next one goes on."""
+
 BEGIN_S = 100.0
 """A job that has waited so long begins next, whatever else there is to do."""
 
--- a/src/crosscleat/core/feasibility.py
+++ b/src/crosscleat/core/scheduling/feasibility.py
@@ -7,21 +7,27 @@
 
 from collections.abc import Iterable
 
-from .capacity import Reservation, Room, fetch_time, within
-from .ids import JobRef, MachineId, Seconds, Team, Zone
-from .jobs import Job
-from .model import Priority, TeamLimits
-from .placements import Ledger, Machine
+from ..model.deployment import TeamLimits
+from ..model.ids import JobRef, MachineId, Seconds, Team, Zone
+from ..model.job_spec import Priority
+from ..state.cluster import Ledger
+from ..state.jobs import Job
+from ..state.machine import Machine
+from .free_capacity import Reservation, Room, fetch_time, within
 
 RESERVED_FROM_ALL_S = 60.0
 """Work of a higher priority may use a reserved machine until its job has waited so long."""
+
 PATIENCE_S = 60.0
 """A job of which no task has been on a machine for so long may use whatever room there is: none
 waits for 90 s while a machine has room for it."""
+
 GANG_AFTER_S = 0.5
 """A gang that has waited so long goes before all others, and into room left to urgent work."""
+
 LARGE_SHARE = 0.3
 """A task that takes so much of a machine finds no room where small ones take whatever is freed."""
+
 QUOTA_SHARE = 0.05
 """At most this part of a team's limit is left to urgent work."""
 
--- a/src/crosscleat/core/capacity.py
+++ b/src/crosscleat/core/scheduling/free_capacity.py
@@ -7,13 +7,15 @@
 
 import msgspec
 
-from .ids import JobRef, MachineId, Seconds
-from .jobs import Job
-from .model import JobSpec, MachineType, Priority
-from .placements import Machine
+from ..model.cloud import MachineType
+from ..model.ids import JobRef, MachineId, Seconds
+from ..model.job_spec import JobSpec, Priority
+from ..state.jobs import Job
+from ..state.machine import Machine
 
 ROUNDING = 1e-9
 """Sums of decimal amounts may be off by so much."""
+
 TROUBLED_MACHINES = 2
 """A job that failed on so many machines and succeeded on none is tried one task at a time."""
 
--- a/src/crosscleat/core/gang_placement.py
+++ b/src/crosscleat/core/scheduling/gang_placement.py
@@ -10,11 +10,11 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from .capacity import Room, fitting
+from ..model.ids import Seconds, Zone
+from ..state.gangs import FETCH_SPREAD, start_delay_s
+from ..state.jobs import Job
 from .feasibility import Feasibility
-from .gangs import FETCH_SPREAD, start_delay_s
-from .ids import Seconds, Zone
-from .jobs import Job
+from .free_capacity import Room, fitting
 from .scoring import Scorer
 
 
--- a/src/crosscleat/core/preemption.py
+++ b/src/crosscleat/core/scheduling/preemption.py
@@ -14,18 +14,24 @@
 from random import Random
 from typing import NamedTuple
 
-from .capacity import Room, fitting, troubled
-from .ids import JobRef, MachineId, Seconds, Team
-from .jobs import Job
-from .model import Priority, Shape, TeamLimits, has_guarantee
-from .placements import AttemptKey, Hold, Ledger, Machine
+from ..model.deployment import TeamLimits, has_guarantee
+from ..model.ids import JobRef, MachineId, Seconds, Team
+from ..model.job_spec import Priority, Shape
+from ..state.allocations import AttemptKey, Hold
+from ..state.cluster import Ledger
+from ..state.jobs import Job
+from ..state.machine import Machine
+from .free_capacity import Room, fitting, troubled
 
 INTERVAL_S = 0.5
 """How often tasks are chosen to be stopped."""
+
 MOST_STOPPED = 64
 """Tasks that are told to stop at a time."""
+
 MOST_MACHINES = 400
 """Machines that are looked at for one job; beyond it a sample of them."""
+
 COUNTED_START_S = 30.0
 """A start counts for its job's user only if the task is not stopped for so long."""
 
--- a/src/crosscleat/core/reservations.py
+++ b/src/crosscleat/core/scheduling/reservations.py
@@ -10,15 +10,16 @@
 import math
 from collections.abc import Callable, Iterable
 
-from .capacity import MachineGroup, Reservation, Room, fitting
+from ..model.ids import Seconds, TypeName, Zone
+from ..state.jobs import Job
+from ..state.machine import Machine
 from .feasibility import LARGE_SHARE
-from .ids import Seconds, TypeName, Zone
-from .jobs import Job
-from .placements import Machine
+from .free_capacity import MachineGroup, Reservation, Room, fitting
 from .scoring import Scorer
 
 RESERVE_AFTER_S = 5.0
 """A job has machines reserved when it has waited so long."""
+
 RESERVED_SHARE = 0.3
 """At most this part of the machines that could hold a job's tasks is reserved."""
 
--- a/src/crosscleat/core/scoring.py
+++ b/src/crosscleat/core/scheduling/scoring.py
@@ -5,9 +5,11 @@
 import math
 from collections import deque
 
-from .ids import Seconds
-from .jobs import Job
-from .model import Deployment, JobSpec, MachineType, Priority
+from ..model.cloud import MachineType
+from ..model.deployment import Deployment
+from ..model.ids import Seconds
+from ..model.job_spec import JobSpec, Priority
+from ..state.jobs import Job
 
 PEAKS = {
     Priority.LOW: 1.0,
@@ -15,7 +17,9 @@
     Priority.HIGH: 4.0,
     Priority.PRODUCTION: 8.0,
 }
+
 MAX_UTILITY = max(PEAKS.values())
+
 LATE_START = 0.8
 """What is left of the utility for each start aim that is missed."""
 
--- a/src/crosscleat/core/work_sharing.py
+++ b/src/crosscleat/core/scheduling/shard_dispatch.py
@@ -5,13 +5,15 @@
 from collections.abc import Iterable
 from random import Random
 
-from .capacity import Choice, Reservation
-from .effects import Part
-from .ids import MachineId, Member, Seconds
-from .jobs import Job
-from .partitioning import Proposal, is_partitioned, owner, shares_of, view_of
-from .placements import Ledger, Machine
-from .term import LeadingTerm
+from ..election.term import LeadingTerm
+from ..model.effects import Part
+from ..model.ids import MachineId, Member, Seconds
+from ..model.shards import Proposal
+from ..state.cluster import Ledger
+from ..state.jobs import Job
+from ..state.machine import Machine
+from .free_capacity import Choice, Reservation
+from .sharding import is_partitioned, owner, shares_of, view_of
 
 PROPOSAL_S = 0.4
 """How long a part waits for its owner's proposal."""
--- a/src/crosscleat/core/partitioning.py
+++ b/src/crosscleat/core/scheduling/sharding.py
@@ -12,71 +12,28 @@
 from collections.abc import Iterable
 from random import Random
 
-import msgspec
-
-from .capacity import Choice, Reservation, troubled
-from .ids import Image, JobRef, MachineId, Member, Seconds, Team, TypeName, Version, Zone
-from .jobs import Job
-from .model import Deployment, JobSpec, MachineType, Priority, TeamLimits
-from .placements import Ledger, Machine
-from .rounds import MOST_CHOICES, Round
+from ..model.cloud import MachineType
+from ..model.deployment import Deployment, TeamLimits
+from ..model.ids import Image, JobRef, MachineId, Member, Seconds, Team, TypeName, Version
+from ..model.job_spec import Priority
+from ..model.shards import JobView, Proposal, RoomView, View
+from ..state.cluster import Ledger
+from ..state.jobs import Job
+from ..state.machine import Machine
+from .cycle import MOST_CHOICES, Round
+from .free_capacity import Choice, Reservation, troubled
 from .scoring import RunTimes, Scorer
 
 MOST_JOBS = 60
 """Jobs that one view shows; the leader plans the others."""
+
 MOST_ROOMS = 1_000
 """Machines that one view shows: of more, a sample, so that the message keeps to its bound."""
+
 MOST_FAILED_SHOWN = 50
 """Machines on which a job failed that a view names; the leader's own check knows all."""
 
 
-class JobView(msgspec.Struct, array_like=True, frozen=True):
-    """What an owner needs to know of a waiting job."""
-
-    spec: JobSpec
-    age_s: float
-    waiting: int
-    failed_on: tuple[MachineId, ...]
-    zones: dict[Zone, int]
-    at_risk: bool
-
-
-class RoomView(msgspec.Struct, array_like=True, frozen=True):
-    """What an owner needs to know of a machine with room."""
-
-    machine: MachineId
-    type: TypeName
-    zone: Zone
-    spot: bool
-    used_cpus: float
-    used_gpus: float
-    used_memory: float
-    images: dict[Image, float]
-    """Those it has or fetches, with the seconds until they are there."""
-    reservation: tuple[JobRef, Priority, float] | None
-    """Whose large tasks it is emptied for: the job, its priority and its age."""
-
-
-class View(msgspec.Struct, array_like=True, frozen=True):
-    """What an owner needs to plan its part."""
-
-    number: int
-    jobs: tuple[JobView, ...]
-    rooms: tuple[RoomView, ...]
-    shares: dict[Team, tuple[float, float]]
-    """CPUs and GPUs that the part may use of each team's limit; a team left out has none."""
-    reserve: float
-    factors: dict[str, float]
-    """By how much estimates are off, by class."""
-
-
-class Proposal(msgspec.Struct, array_like=True, frozen=True):
-    """An owner's choices for the part that it was given under this number."""
-
-    number: int
-    choices: tuple[tuple[JobRef, MachineId], ...]
-
-
 def owner(job: JobRef, members: tuple[Member, ...]) -> Member:
     """The controller that plans the job."""
     return members[zlib.crc32(job.encode()) % len(members)]
--- a/src/crosscleat/core/batch.py
+++ b/src/crosscleat/core/state/batch.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
-from .effects import Put, Remove
-from .election import LEADER
-from .ids import Version
-from .jobs import Chunk, Job, RecordedPlacement, ended_key, ended_record, live_key
-from .placements import Machine
-from .records import DropRecord, WorkRecord
+from ..model.ids import Version
+from ..model.store_calls import Put, Remove
+from .decommission_records import DropRecord
+from .job_records import ended_record
+from .jobs import Chunk, Job, RecordedPlacement
+from .keys import LEADER, ended_key, live_key
+from .machine import Machine
+from .placement_records import WorkRecord
 
 MOST_BYTES = 48 * 1024
 """64 KiB is the limit for a whole transaction: leave room for conditions and ends."""
--- a/src/crosscleat/core/gangs.py
+++ b/src/crosscleat/core/state/gangs.py
@@ -12,21 +12,27 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from . import reports
-from .ids import MachineId, Seconds
-from .model import Deployment, JobSpec
-from .placements import Hold, Machine
+from ..model import heartbeats
+from ..model.deployment import Deployment
+from ..model.ids import MachineId, Seconds
+from ..model.job_spec import JobSpec
+from .allocations import Hold
+from .machine import Machine
 
 Placed = tuple[Machine, Hold]
 
-REPLACEABLE = (None, reports.NO_ROOM, reports.STOPPED)
+REPLACEABLE = (None, heartbeats.NO_ROOM, heartbeats.STOPPED)
 """Ends of a task that say nothing against completing the attempt that waits for it."""
+
 IN_TIME_SHARE = 0.7
 """A run that is estimated to end within this part of a notice is let go on."""
+
 STOP_MARGIN_S = 1.0
 """Kept free of a notice for the messages that stop a gang."""
+
 CHECK_IN_JITTER = 1.25
 """A worker reports every `report_s`, a quarter more at the most."""
+
 FETCH_SPREAD = 1.4
 """An image may take a third longer than the machine type says."""
 
@@ -120,7 +126,7 @@
             continue
         if hold.withdrawn:
             return Phase.STOPPING
-        if hold.running_since is not None or hold.state in (reports.RUNNING, reports.SAVING):
+        if hold.running_since is not None or hold.state in (heartbeats.RUNNING, heartbeats.SAVING):
             return Phase.RUNNING
         if hold.sent and not machine.known:
             phase = Phase.UNHEARD
--- a/src/crosscleat/core/jobs.py
+++ b/src/crosscleat/core/state/jobs.py
@@ -12,11 +12,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-import msgspec
-
-from .effects import Record
-from .gangs import GangProgress
-from .ids import (
+from ..model.ids import (
     LONG_AGO,
     Attempt,
     JobRef,
@@ -25,43 +21,17 @@
     Session,
     TaskId,
     Version,
-    WallTime,
 )
-from .model import JobSpec, Shape
+from ..model.job_spec import JobSpec, Shape
+from ..model.store_calls import Record
+from .gangs import GangProgress
 
-LIVE = "live/"
-ENDED = "ended/"
-FORMAT = "format/"
 NEVER_TRIED = Attempt(0)
+
 CHUNK = 200
 """Tasks that are kept together where nothing says otherwise, and always before `format/`."""
 
 
-def live_key(ref: JobRef) -> str:
-    """Key of the record of a job that is not over."""
-    return LIVE + ref
-
-
-def ended_key(ref: JobRef) -> str:
-    """Key of the record of a job's outcome."""
-    return ENDED + ref
-
-
-def live_record(spec: JobSpec, submitted: WallTime, aborted: bool) -> Record:
-    """What is stored of a job until it is over."""
-    return {"spec": msgspec.to_builtins(spec), "at": submitted, "aborted": aborted}
-
-
-def spec_of(record: Record) -> JobSpec:
-    """The job as its live record describes it."""
-    return msgspec.convert(record["spec"], JobSpec)
-
-
-def ended_record(tasks: int, aborted: bool) -> Record:
-    """What is stored of a job's outcome, for good."""
-    return {"tasks": tasks, "aborted": aborted}
-
-
 @dataclass(slots=True)
 class Placement:
     """Where the present attempt of a task may be."""
--- a/src/crosscleat/core/placements.py
+++ b/src/crosscleat/core/state/machine.py
@@ -1,81 +1,33 @@
-"""Where each attempt may be, and what proves that it is gone.
-
-A hold stands for one attempt that may exist on a machine, seen there or not. It keeps
-its room, its team's quota and its place until one of these is shown:
-
-- a report newer than any other, of the same session, lists the attempt as exited;
-- a report of a later session, since a session's end ends all its tasks;
-- the cloud has confirmed the machine's deletion;
-- the lease has run out since the last answer anyone could have given;
-- the start can no longer be executed (`Machine.may_still_start` is false) and the newest
-  report does not list the attempt.
-"""
+"""A machine as the leader knows it."""
 
 from __future__ import annotations
 
 import math
-from collections.abc import Collection, Iterator
 from dataclasses import dataclass, field
 
-from .ids import (
+from ..model.cloud import MachineType
+from ..model.heartbeats import EXITED, TaskReport
+from ..model.ids import (
     LONG_AGO,
     NEVER,
-    Attempt,
-    JobRef,
     MachineId,
     Seconds,
     Seen,
-    Session,
-    TaskId,
-    Team,
     Token,
     TypeName,
     Zone,
 )
-from .model import JobSpec, MachineType, Priority
-from .reports import EXITED, TaskReport
-
-AttemptKey = tuple[TaskId, Attempt]
+from ..model.job_spec import JobSpec
+from .allocations import AttemptKey, Hold
 
 NEVER_ANSWERED = Seconds(-math.inf)
+
 UNKNOWN_TYPE = MachineType(TypeName(""), 0.0, 0.0, 0.0, 0.0, 1.0, 0.0, 0.0, 0.0, ())
+
 NOWHERE = Zone("")
 """The zone of a machine that only a record has named so far."""
 
 
-@dataclass(slots=True)
-class Hold:
-    """The room, quota and place that one attempt takes until it is proven gone."""
-
-    task: TaskId
-    attempt: Attempt
-    spec: JobSpec
-    machine: MachineId
-    zone: Zone
-    session: Session
-    recorded: bool = False
-    """The store has the placement: a start may be sent."""
-    listed: bool = False
-    """The newest report lists it."""
-    state: str = ""
-    withdrawn: bool = False
-    """It is to go: no start is sent any more, and a stop when it is listed."""
-    replaced: bool = False
-    """Withdrawn by itself: its gang waits, and another place is found for it."""
-    grace_s: float = 0.0
-    answered_at: int = 0
-    """Tally of the last check-in whose answer carried its start."""
-    sent: bool = False
-    """A start may have been sent, by this leader or an earlier one."""
-    placed_at: Seconds = LONG_AGO
-    running_since: Seconds | None = None
-
-    @property
-    def key(self) -> AttemptKey:
-        """What it is known by on its machine."""
-        return (self.task, self.attempt)
-
-
 @dataclass(slots=True)
 class Machine:
     """A machine as the leader knows it."""
@@ -209,78 +161,3 @@
         if self.direct_in_flight or self.shown_token <= self.risk_token:
             return True
         return self.checked <= hold.answered_at
-
-
-class Ledger:
-    """All holds, by machine, with the room, quota and zones that they take."""
-
-    def __init__(self) -> None:
-        self.machines: dict[MachineId, Machine] = {}
-        self.team_cpus: dict[str, float] = {}
-        self.team_gpus: dict[str, float] = {}
-        self.job_zones: dict[str, dict[Zone, int]] = {}
-        self._running: dict[tuple[Team, Priority], dict[MachineId, int]] = {}
-        """How many holds of each team and priority a machine has."""
-
-    def running(self) -> Iterator[tuple[Team, Priority, Collection[MachineId]]]:
-        """Teams and priorities of which there are holds, and the machines that have them."""
-        for (team, priority), machines in self._running.items():
-            if machines:
-                yield team, priority, machines.keys()
-
-    def add(self, machine: Machine, hold: Hold) -> None:
-        """Count what the hold takes."""
-        machine.holds[hold.task, hold.attempt] = hold
-        self._count(machine, hold, 1)
-
-    def remove(self, machine: Machine, hold: Hold) -> None:
-        """The attempt is proven gone."""
-        if machine.holds.pop((hold.task, hold.attempt), None) is not None:
-            self._count(machine, hold, -1)
-
-    def find(
-        self, job: JobRef, number: int, attempt: Attempt, machine_id: MachineId
-    ) -> tuple[Machine, Hold] | None:
-        """The hold of this attempt on this machine."""
-        machine = self.machines.get(machine_id)
-        hold = machine and machine.holds.get((TaskId(job, number), attempt))
-        return (machine, hold) if machine and hold else None
-
-    def _count(self, machine: Machine, hold: Hold, sign: int) -> None:
-        job = hold.spec
-        if machine.holds:
-            machine.used_cpus += sign * job.cpus
-            machine.used_gpus += sign * job.gpus
-            machine.used_memory += sign * job.memory_gb
-        else:
-            machine.used_cpus = machine.used_gpus = machine.used_memory = 0.0
-        self.team_cpus[job.team] = self.team_cpus.get(job.team, 0.0) + sign * job.cpus
-        self.team_gpus[job.team] = self.team_gpus.get(job.team, 0.0) + sign * job.gpus
-        running = self._running.setdefault((job.team, job.priority), {})
-        running[machine.id] = running.get(machine.id, 0) + sign
-        if running[machine.id] <= 0:
-            del running[machine.id]
-        zones = self.job_zones.setdefault(job.ref, {})
-        zones[hold.zone] = zones.get(hold.zone, 0) + sign
-        if zones[hold.zone] <= 0:
-            del zones[hold.zone]
-            if not zones:
-                del self.job_zones[job.ref]
-
-    def zone_allows(self, job: JobSpec, zone: Zone) -> bool:
-        """Whether the job's own tasks leave room for one more in this zone."""
-        if not job.one_zone and not job.spread:
-            return True
-        zones = self.job_zones.get(job.ref, {})
-        if job.one_zone and any(other != zone for other in zones):
-            return False
-        return not job.spread or self.in_zone(job, zone) < job.per_zone()
-
-    def in_zone(self, job: JobSpec, zone: Zone) -> int:
-        """The job's tasks that may be in the zone: also those on machines not yet described."""
-        zones = self.job_zones.get(job.ref, {})
-        return zones.get(zone, 0) + zones.get(NOWHERE, 0)
-
-    def before_session(self, machine: Machine, session: Session) -> list[Hold]:
-        """The holds that a report of this session proves gone."""
-        return [h for h in machine.holds.values() if h.session < session]
--- a/src/crosscleat/core/records.py
+++ b/src/crosscleat/core/state/placement_records.py
@@ -16,21 +16,22 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from .effects import Item, Put, Record
-from .ids import ABSENT, LONG_AGO, JobRef, MachineId, Seconds, Version
+from ..model.ids import ABSENT, LONG_AGO, JobRef, Seconds, Version
+from ..model.job_spec import Priority
+from ..model.store_calls import Item, Record
 from .jobs import CHUNK, Chunk, Job
-from .model import Priority
+from .keys import WORK
 
-WORK = "work/"
-DROP = "drop/"
 TASK_BYTES = 40
 """More than a task takes in a record, whatever its state, in the form that limits count."""
+
 CHUNK_BYTES = 160
+
 FILL = 0.6
+
 FULL = 0.9
 """Of a value, where chunks are cut to fit one."""
-NAME_BYTES = 24
-MOST_NAMES = 300
+
 OVERDUE_S = 1.0
 """A start that has waited so long to be written goes before more urgent ones."""
 
@@ -209,58 +210,3 @@
     def removed(self, record: WorkRecord) -> None:
         """The record is gone from the store."""
         del self._records[record.number]
-
-
-@dataclass(slots=True, eq=False)
-class DropRecord:
-    """One value with the names of machines whose deletion is decided."""
-
-    number: int
-    version: Version = ABSENT
-    names: dict[MachineId, None] = field(default_factory=dict)
-
-    @property
-    def key(self) -> str:
-        """Its key in the store."""
-        return f"{DROP}{self.number}"
-
-    def put(self, more: Iterable[MachineId]) -> Put:
-        """The write that adds these names."""
-        return Put(self.key, {"machines": [*self.names, *more]})
-
-
-class DropRecords:
-    """All records of deletions."""
-
-    def __init__(self, value_kb: float) -> None:
-        self._most = min(MOST_NAMES, int(value_kb * 1024 * FULL) // NAME_BYTES)
-        self._records: dict[int, DropRecord] = {}
-        self._next = 1
-
-    def load(self, items: Iterable[Item]) -> list[MachineId]:
-        """Take over what an earlier leader left; the names on record."""
-        for item in items:
-            record = DropRecord(int(item.key.removeprefix(DROP)), item.version)
-            record.names = dict.fromkeys(MachineId(name) for name in item.value["machines"])
-            self._records[record.number] = record
-            self._next = max(self._next, record.number + 1)
-        return [name for record in self._records.values() for name in record.names]
-
-    def open(self) -> tuple[DropRecord, int]:
-        """One with room for more names, and for how many."""
-        for record in self._records.values():
-            if len(record.names) < self._most // 2:
-                return record, self._most - len(record.names)
-        record = self._records[self._next] = DropRecord(self._next)
-        self._next += 1
-        return record, self._most
-
-    def forget(self, name: MachineId) -> DropRecord | None:
-        """The name need not be known any more; the record, if it holds no other."""
-        for record in self._records.values():
-            if name in record.names:
-                del record.names[name]
-                if not record.names:
-                    del self._records[record.number]
-                    return record
-        return None
--- a/src/crosscleat/settings.py
+++ b/src/crosscleat/settings.py
@@ -9,8 +9,8 @@
 import msgspec
 from msgspec import Meta
 
-from .core.ids import Member, Team
-from .core.model import Deployment, Knobs, Objective, TeamLimits
+from .core.model.deployment import Deployment, Knobs, Objective, TeamLimits
+from .core.model.ids import Member, Team
 
 Positive = Annotated[float, Meta(gt=0.0, le=1e9)]
 Amount = Annotated[float, Meta(ge=0.0, le=1e9)]
--- a/src/crosscleat/wire/cloud.py
+++ b/src/crosscleat/wire/cloud.py
@@ -4,10 +4,9 @@
 
 import msgspec
 
-from ..core.effects import Rent
-from ..core.ids import MachineId, TypeName, Zone
-from ..core.model import MachineType
-from ..core.reports import ListedMachine
+from ..core.model.cloud import ListedMachine, MachineType
+from ..core.model.cloud_calls import Rent
+from ..core.model.ids import MachineId, TypeName, Zone
 
 
 class Rig(msgspec.Struct):
--- a/src/crosscleat/wire/peers.py
+++ b/src/crosscleat/wire/peers.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ..core.partitioning import Proposal, View
+from ..core.model.shards import Proposal, View
 
 MOST_FRAME = 1 << 20
 
--- a/src/crosscleat/wire/state.py
+++ b/src/crosscleat/wire/state.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from ..core.effects import Commit, Item, Put
-from ..core.ids import Version
+from ..core.model.ids import Version
+from ..core.model.store_calls import Commit, Item, Put
 
 
 class Pair(msgspec.Struct):
--- a/src/crosscleat/wire/users.py
+++ b/src/crosscleat/wire/users.py
@@ -8,8 +8,8 @@
 import msgspec
 from msgspec import Meta
 
-from ..core.ids import Image, JobRef, Team, TypeName, Zone, is_job_ref
-from ..core.model import JobSpec, Priority, Shape
+from ..core.model.ids import Image, JobRef, Team, TypeName, Zone, is_job_ref
+from ..core.model.job_spec import JobSpec, Priority, Shape
 
 MOST_BYTES = 64 * 1024
 MOST_TASKS = 100_000
--- a/src/crosscleat/wire/workers.py
+++ b/src/crosscleat/wire/workers.py
@@ -6,17 +6,17 @@
 
 import msgspec
 
-from ..core import reports
-from ..core.effects import ClearOrder, Order, StartOrder
-from ..core.ids import Attempt, MachineId, Seen, Session, TaskId, Token, TypeName, Zone
-from ..core.reports import Report, TaskReport
+from ..core.model import heartbeats
+from ..core.model.heartbeats import Report, TaskReport
+from ..core.model.ids import Attempt, MachineId, Seen, Session, TaskId, Token, TypeName, Zone
+from ..core.model.worker_calls import ClearOrder, Order, StartOrder
 
 STATES = {
-    "pulling": reports.FETCHING,
-    "running": reports.RUNNING,
-    "waiting": reports.WAITING,
-    "flushing": reports.SAVING,
-    "exited": reports.EXITED,
+    "pulling": heartbeats.FETCHING,
+    "running": heartbeats.RUNNING,
+    "waiting": heartbeats.WAITING,
+    "flushing": heartbeats.SAVING,
+    "exited": heartbeats.EXITED,
 }
 
 
--- a/tests/effects.py
+++ b/tests/effects.py
@@ -4,7 +4,7 @@
 
 from typing import TypeVar
 
-from crosscleat.core.effects import Answer, Effect, Outbox
+from crosscleat.core.model.effects import Answer, Effect, Outbox
 
 Kind = TypeVar("Kind", bound=Effect)
 
--- a/tests/encoded.py
+++ b/tests/encoded.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from crosscleat.core.ids import Image, JobRef, Team, TypeName, Zone
-from crosscleat.core.model import JobSpec, Priority, Shape
+from crosscleat.core.model.ids import Image, JobRef, Team, TypeName, Zone
+from crosscleat.core.model.job_spec import JobSpec, Priority, Shape
 
 
 def pack(value: Any) -> bytes:
--- a/tests/term.py
+++ b/tests/term.py
@@ -4,9 +4,11 @@
 
 from random import Random
 
-from crosscleat.core.effects import Effect, Item, Outbox
-from crosscleat.core.election import Election
-from crosscleat.core.ids import (
+from crosscleat.core.control.leader import Leader
+from crosscleat.core.election.election import Election
+from crosscleat.core.model.effects import Effect, Outbox
+from crosscleat.core.model.heartbeats import Report, TaskReport
+from crosscleat.core.model.ids import (
     MachineId,
     Member,
     Seconds,
@@ -17,10 +19,11 @@
     WallTime,
     Zone,
 )
-from crosscleat.core.jobs import Job, live_key, live_record
-from crosscleat.core.leader import Leader
-from crosscleat.core.records import WorkRecords
-from crosscleat.core.reports import Report, TaskReport
+from crosscleat.core.model.store_calls import Item
+from crosscleat.core.state.job_records import live_record
+from crosscleat.core.state.jobs import Job
+from crosscleat.core.state.keys import live_key
+from crosscleat.core.state.placement_records import WorkRecords
 
 from .world import TYPES, deployment, job
 
--- /dev/null
+++ b/tests/test_architecture.py
@@ -0,0 +1,89 @@
+"""The packages of the core are layers: imports point towards `core.model`, never back."""
+
+from __future__ import annotations
+
+import ast
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+import crosscleat
+
+ROOT = Path(crosscleat.__file__).parent
+LAYERS = ("model", "state", "election", "scheduling", "capacity", "control")
+"""The packages of the core; each may import itself and those before it."""
+
+
+def imported_modules(path: Path) -> Iterator[tuple[str, ...]]:
+    """The modules of crosscleat that a file imports, as absolute paths below the package."""
+    package = path.relative_to(ROOT).parent.parts
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.Import):
+            for alias in node.names:
+                if alias.name.startswith("crosscleat."):
+                    yield tuple(alias.name.split(".")[1:])
+        if not isinstance(node, ast.ImportFrom):
+            continue
+        module = tuple((node.module or "").split(".")) if node.module else ()
+        if node.level:
+            base = (*package[: len(package) - node.level + 1], *module)
+        elif module[:1] == ("crosscleat",):
+            base = module[1:]
+        else:
+            continue
+        for alias in node.names:
+            yield (*base, alias.name)
+
+
+def files_below(*parts: str) -> list[Path]:
+    return sorted(ROOT.joinpath(*parts).rglob("*.py"))
+
+
+def core_packages(path: Path) -> set[str]:
+    """The packages of the core that the file imports."""
+    return {parts[1] for parts in imported_modules(path) if parts[:1] == ("core",)}
+
+
+@pytest.mark.parametrize("layer", LAYERS)
+def test_a_package_of_the_core_imports_only_itself_and_the_layers_below(layer: str) -> None:
+    allowed = set(LAYERS[: LAYERS.index(layer) + 1])
+
+    imports = {path.name: core_packages(path) - allowed for path in files_below("core", layer)}
+
+    assert {name: found for name, found in imports.items() if found} == {}
+
+
+@pytest.mark.parametrize("layer", LAYERS)
+def test_a_package_of_the_core_says_what_it_owns_and_may_import(layer: str) -> None:
+    doc = ast.get_docstring(ast.parse((ROOT / "core" / layer / "__init__.py").read_text()))
+
+    assert doc is not None
+    assert "Owns " in doc
+    assert "May import: " in doc
+
+
+def test_the_core_has_no_modules_beside_its_packages() -> None:
+    found = {path.name for path in (ROOT / "core").iterdir() if path.name != "__pycache__"}
+
+    assert found == {"__init__.py", *LAYERS}
+
+
+def test_the_core_imports_nothing_of_the_outside() -> None:
+    outside = {
+        path.name: parts
+        for path in files_below("core")
+        for parts in imported_modules(path)
+        if parts[0] != "core"
+    }
+
+    assert outside == {}
+
+
+def test_messages_depend_on_the_model_alone() -> None:
+    imports = {
+        path.name: [parts for parts in imported_modules(path) if parts[:2] != ("core", "model")]
+        for path in files_below("wire")
+    }
+
+    assert {name: found for name, found in imports.items() if found} == {}
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -14,19 +14,11 @@
 import msgspec
 import pytest
 
-from crosscleat.core import reports
-from crosscleat.core.effects import (
-    ClearOrder,
-    Commit,
-    Item,
-    Order,
-    Put,
-    Remove,
-    Rent,
-    StartOrder,
-    StopOrder,
-)
-from crosscleat.core.ids import (
+from crosscleat.core.model import heartbeats
+from crosscleat.core.model.cloud import ListedMachine, MachineType
+from crosscleat.core.model.cloud_calls import Rent
+from crosscleat.core.model.heartbeats import Report, TaskReport
+from crosscleat.core.model.ids import (
     Attempt,
     Image,
     JobRef,
@@ -41,9 +33,10 @@
     Version,
     Zone,
 )
-from crosscleat.core.model import MachineType, Priority
-from crosscleat.core.partitioning import JobView, Proposal, RoomView, View
-from crosscleat.core.reports import ListedMachine, Report, TaskReport
+from crosscleat.core.model.job_spec import Priority
+from crosscleat.core.model.shards import JobView, Proposal, RoomView, View
+from crosscleat.core.model.store_calls import Commit, Item, Put, Remove
+from crosscleat.core.model.worker_calls import ClearOrder, Order, StartOrder, StopOrder
 from crosscleat.wire import cloud, peers, state, workers
 
 from .encoded import SPEC, STORED_SPEC, pack, unpack
@@ -77,19 +70,19 @@
     ),
 )
 STATES = [
-    ("pulling", reports.FETCHING),
-    ("running", reports.RUNNING),
-    ("waiting", reports.WAITING),
-    ("flushing", reports.SAVING),
-    ("exited", reports.EXITED),
+    ("pulling", heartbeats.FETCHING),
+    ("running", heartbeats.RUNNING),
+    ("waiting", heartbeats.WAITING),
+    ("flushing", heartbeats.SAVING),
+    ("exited", heartbeats.EXITED),
 ]
 CAUSES = [
-    ("done", reports.DONE),
-    ("stopped", reports.STOPPED),
-    ("error", reports.ERROR),
-    ("no_room", reports.NO_ROOM),
-    ("mates_gone", reports.MATES_GONE),
-    ("incomplete", reports.INCOMPLETE),
+    ("done", heartbeats.DONE),
+    ("stopped", heartbeats.STOPPED),
+    ("error", heartbeats.ERROR),
+    ("no_room", heartbeats.NO_ROOM),
+    ("mates_gone", heartbeats.MATES_GONE),
+    ("incomplete", heartbeats.INCOMPLETE),
     ("busy", "busy"),
     ("no_such", "no_such"),
 ]
@@ -123,15 +116,15 @@
 @pytest.mark.parametrize(("word", "known"), STATES)
 def test_each_state_of_a_task_is_known(word: str, known: str) -> None:
     report = report_of(word, None)
-    assert report.tasks[0].state == known and not reports.unknown_words(report)
-    assert len(workers.STATES) == len(reports.STATES) == 5
+    assert report.tasks[0].state == known and not heartbeats.unknown_words(report)
+    assert len(workers.STATES) == len(heartbeats.STATES) == 5
 
 
 @pytest.mark.parametrize(("word", "known"), CAUSES)
 def test_each_cause_of_an_exit_is_known(word: str, known: str) -> None:
     report = report_of("exited", word)
-    assert report.tasks[0].cause == known and not reports.unknown_words(report)
-    assert len(reports.CAUSES) == 8
+    assert report.tasks[0].cause == known and not heartbeats.unknown_words(report)
+    assert len(heartbeats.CAUSES) == 8
 
 
 ORDERS: tuple[Order, ...] = (
--- a/tests/test_encoded_jobs.py
+++ b/tests/test_encoded_jobs.py
@@ -16,31 +16,26 @@
 import pytest
 
 from crosscleat.adapters.http_server import HttpServer
-from crosscleat.core.effects import (
-    Answer,
+from crosscleat.core.election.election import Election
+from crosscleat.core.election.upgrade import Upgrade
+from crosscleat.core.model.effects import Answer, Outbox
+from crosscleat.core.model.ids import JobRef, MachineId, Member, Seconds, Version, WallTime
+from crosscleat.core.model.job_spec import JobSpec, Priority, Shape
+from crosscleat.core.model.store_calls import (
     Commit,
     Committed,
     Found,
     Item,
     Listing,
-    Outbox,
     Put,
     Read,
     Scan,
 )
-from crosscleat.core.election import Election
-from crosscleat.core.ids import (
-    JobRef,
-    MachineId,
-    Member,
-    Seconds,
-    Version,
-    WallTime,
-)
-from crosscleat.core.jobs import Job, ended_key, ended_record, live_key, live_record, spec_of
-from crosscleat.core.model import JobSpec, Priority, Shape
-from crosscleat.core.records import DropRecords, WorkRecords
-from crosscleat.core.upgrade import Upgrade
+from crosscleat.core.state.decommission_records import DropRecords
+from crosscleat.core.state.job_records import ended_record, live_record, spec_of
+from crosscleat.core.state.jobs import Job
+from crosscleat.core.state.keys import ended_key, live_key
+from crosscleat.core.state.placement_records import WorkRecords
 from crosscleat.wire import users
 
 from .effects import answered, only
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from crosscleat.core.ids import Team, Zone
-from crosscleat.core.model import Priority
+from crosscleat.core.model.ids import Team, Zone
+from crosscleat.core.model.job_spec import Priority
 
 from .world import (
     CANCEL_S,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,11 +4,12 @@
 
 from typing import Any
 
-from crosscleat.core.fleet import Fleet, PoolKey, Wanted
-from crosscleat.core.ids import MachineId, Seconds, Team, TypeName, Version, Zone
-from crosscleat.core.jobs import Job
-from crosscleat.core.model import Knobs
-from crosscleat.core.placements import Machine
+from crosscleat.core.capacity.fleet import Fleet, Wanted
+from crosscleat.core.capacity.pools import PoolKey
+from crosscleat.core.model.deployment import Knobs
+from crosscleat.core.model.ids import MachineId, Seconds, Team, TypeName, Version, Zone
+from crosscleat.core.state.jobs import Job
+from crosscleat.core.state.machine import Machine
 
 from .world import TEAMS, TYPES, job
 
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -10,12 +10,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crosscleat.core import reports
-from crosscleat.core.effects import ClearOrder, Commit, Order, Put, Remove, StartOrder, StopOrder
-from crosscleat.core.ids import JobRef, LeaseId, Session, TaskId, Token, Version, WallTime
-from crosscleat.core.jobs import live_record, spec_of
-from crosscleat.core.model import JobSpec, Shape
-from crosscleat.core.partitioning import Proposal
+from crosscleat.core.model import heartbeats
+from crosscleat.core.model.ids import JobRef, LeaseId, Session, TaskId, Token, Version, WallTime
+from crosscleat.core.model.job_spec import JobSpec, Shape
+from crosscleat.core.model.shards import Proposal
+from crosscleat.core.model.store_calls import Commit, Put, Remove
+from crosscleat.core.model.worker_calls import ClearOrder, Order, StartOrder, StopOrder
+from crosscleat.core.state.job_records import live_record, spec_of
 from crosscleat.wire import cloud, peers, state, users, workers
 
 amounts = st.floats(0.0, 1e6, allow_nan=False)
@@ -148,7 +149,7 @@
     assert report is not None
     assert report.seen == (2, tally)
     assert [str(t.task) for t in report.tasks] == [f"{r}/{n}" for r, n, _, _ in tasks]
-    assert all(t.state in (reports.RUNNING, "new") for t in report.tasks)
+    assert all(t.state in (heartbeats.RUNNING, "new") for t in report.tasks)
 
 
 @pytest.mark.parametrize("shape", ["gang", "Service", "Ensemble", "", None, 1])
@@ -174,12 +175,12 @@
     report = workers.parse_check_in(pack(body))
     assert report is not None
     assert [(t.state, t.cause, t.saved) for t in report.tasks] == [
-        (reports.WAITING, None, False),
-        (reports.EXITED, reports.STOPPED, True),
-        (reports.EXITED, reports.MATES_GONE, False),
-        (reports.EXITED, reports.STOPPED, False),
+        (heartbeats.WAITING, None, False),
+        (heartbeats.EXITED, heartbeats.STOPPED, True),
+        (heartbeats.EXITED, heartbeats.MATES_GONE, False),
+        (heartbeats.EXITED, heartbeats.STOPPED, False),
     ]
-    assert not reports.unknown_words(report)
+    assert not heartbeats.unknown_words(report)
 
 
 def test_orders_are_written_in_the_protocols_words() -> None:
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -9,11 +9,10 @@
 import msgspec
 import pytest
 
-from crosscleat.core.capacity import Reservation
-from crosscleat.core.effects import Answer, Commit, Committed, Direct, Item, StartOrder, StopOrder
-from crosscleat.core.gang_control import holds_of
-from crosscleat.core.gangs import GangProgress
-from crosscleat.core.ids import (
+from crosscleat.core.control.gang_control import holds_of
+from crosscleat.core.model.effects import Answer
+from crosscleat.core.model.heartbeats import TaskReport
+from crosscleat.core.model.ids import (
     Attempt,
     Image,
     JobRef,
@@ -26,13 +25,18 @@
     Version,
     WallTime,
 )
-from crosscleat.core.jobs import Job, live_record
-from crosscleat.core.model import Priority, Shape
-from crosscleat.core.placements import Ledger, Machine
-from crosscleat.core.records import WorkRecords
-from crosscleat.core.reports import TaskReport
-from crosscleat.core.rounds import Round
-from crosscleat.core.scoring import RunTimes, Scorer
+from crosscleat.core.model.job_spec import Priority, Shape
+from crosscleat.core.model.store_calls import Commit, Committed, Item
+from crosscleat.core.model.worker_calls import Direct, StartOrder, StopOrder
+from crosscleat.core.scheduling.cycle import Round
+from crosscleat.core.scheduling.free_capacity import Reservation
+from crosscleat.core.scheduling.scoring import RunTimes, Scorer
+from crosscleat.core.state.cluster import Ledger
+from crosscleat.core.state.gangs import GangProgress
+from crosscleat.core.state.job_records import live_record
+from crosscleat.core.state.jobs import Job
+from crosscleat.core.state.machine import Machine
+from crosscleat.core.state.placement_records import WorkRecords
 
 from .term import TOKEN, Term
 from .test_rounds import NOW, machine, plan, waiting
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from crosscleat.adapters.http_server import HttpServer
-from crosscleat.core.controller import Abort, Poll, Refuse, Submit
-from crosscleat.core.effects import Answer
+from crosscleat.core.model.effects import Answer
+from crosscleat.core.model.inputs import Abort, Poll, Refuse, Submit
 
 
 class Door:
--- a/tests/test_interruptions.py
+++ b/tests/test_interruptions.py
@@ -5,14 +5,16 @@
 from random import Random
 from typing import Any
 
-from crosscleat.core.fleet import Demand, Fleet, Wanted
-from crosscleat.core.ids import MachineId, Seconds, Team, Version, Zone
-from crosscleat.core.interruptions import MOST_AT_ONCE, InterruptionStats
-from crosscleat.core.jobs import Job
-from crosscleat.core.model import Knobs
-from crosscleat.core.placements import Ledger, Machine
-from crosscleat.core.rounds import Round
-from crosscleat.core.scoring import RunTimes, Scorer
+from crosscleat.core.capacity.demand import Demand
+from crosscleat.core.capacity.fleet import Fleet, Wanted
+from crosscleat.core.capacity.interruptions import MOST_AT_ONCE, InterruptionStats
+from crosscleat.core.model.deployment import Knobs
+from crosscleat.core.model.ids import MachineId, Seconds, Team, Version, Zone
+from crosscleat.core.scheduling.cycle import Round
+from crosscleat.core.scheduling.scoring import RunTimes, Scorer
+from crosscleat.core.state.cluster import Ledger
+from crosscleat.core.state.jobs import Job
+from crosscleat.core.state.machine import Machine
 
 from .world import TEAMS, TYPES, deployment, job
 
--- a/tests/test_isolated.py
+++ b/tests/test_isolated.py
@@ -4,11 +4,12 @@
 
 import pytest
 
-from crosscleat.core.batch import Batch
-from crosscleat.core.ids import MachineId, Seconds, Session, Token, Version
-from crosscleat.core.jobs import Job, live_key
-from crosscleat.core.model import Priority
-from crosscleat.core.records import WorkRecords
+from crosscleat.core.model.ids import MachineId, Seconds, Session, Token, Version
+from crosscleat.core.model.job_spec import Priority
+from crosscleat.core.state.batch import Batch
+from crosscleat.core.state.jobs import Job
+from crosscleat.core.state.keys import live_key
+from crosscleat.core.state.placement_records import WorkRecords
 
 from .world import (
     CANCEL_S,
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -2,9 +2,14 @@
 
 from __future__ import annotations
 
-from crosscleat.core.effects import DeleteMachines, Effect, Orders, Rent, StartOrder
-from crosscleat.core.fleet import PoolKey, Wanted
-from crosscleat.core.ids import (
+from crosscleat.core.capacity.fleet import Wanted
+from crosscleat.core.capacity.pools import PoolKey
+from crosscleat.core.control.leader import Leader
+from crosscleat.core.election.term import START_CONTACT_S
+from crosscleat.core.model.cloud_calls import DeleteMachines, Rent
+from crosscleat.core.model.effects import Effect
+from crosscleat.core.model.heartbeats import Report, TaskReport
+from crosscleat.core.model.ids import (
     Attempt,
     JobRef,
     MachineId,
@@ -15,9 +20,7 @@
     Token,
     Zone,
 )
-from crosscleat.core.leader import Leader
-from crosscleat.core.reports import Report, TaskReport
-from crosscleat.core.term import START_CONTACT_S
+from crosscleat.core.model.worker_calls import Orders, StartOrder
 
 from .term import TOKEN, Term, held
 from .world import TYPES
--- a/tests/test_new_leader.py
+++ b/tests/test_new_leader.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from crosscleat.core.ids import MachineId, Zone
-from crosscleat.core.reports import ListedMachine
+from crosscleat.core.model.cloud import ListedMachine
+from crosscleat.core.model.ids import MachineId, Zone
 
 from .term import Term
 from .world import CANCEL_S, LEASE_S, TYPES
--- a/tests/test_outage_after_partition.py
+++ b/tests/test_outage_after_partition.py
@@ -10,7 +10,7 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
-from crosscleat.core.ids import Team
+from crosscleat.core.model.ids import Team
 
 from .world import CANCEL_S, LEASE_S, MEMBERS, REPORT_S, World, at_work, job, leader_of, running
 
--- a/tests/test_partitioning.py
+++ b/tests/test_partitioning.py
@@ -8,13 +8,27 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crosscleat.core.capacity import Reservation
-from crosscleat.core.effects import Item, Part
-from crosscleat.core.ids import JobRef, MachineId, Member, Seconds, Team, Version, WallTime, Zone
-from crosscleat.core.jobs import Job, live_key, live_record
-from crosscleat.core.model import Priority
-from crosscleat.core.partitioning import Proposal, View, owner, plan, shares_of, view_of
-from crosscleat.core.placements import Ledger, Machine
+from crosscleat.core.model.effects import Part
+from crosscleat.core.model.ids import (
+    JobRef,
+    MachineId,
+    Member,
+    Seconds,
+    Team,
+    Version,
+    WallTime,
+    Zone,
+)
+from crosscleat.core.model.job_spec import Priority
+from crosscleat.core.model.shards import Proposal, View
+from crosscleat.core.model.store_calls import Item
+from crosscleat.core.scheduling.free_capacity import Reservation
+from crosscleat.core.scheduling.sharding import owner, plan, shares_of, view_of
+from crosscleat.core.state.cluster import Ledger
+from crosscleat.core.state.job_records import live_record
+from crosscleat.core.state.jobs import Job
+from crosscleat.core.state.keys import live_key
+from crosscleat.core.state.machine import Machine
 
 from .term import Term
 from .world import MEMBERS, TEAMS, TYPES, deployment, job
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -5,11 +5,23 @@
 from random import Random
 from typing import Any
 
-from crosscleat.core.ids import Attempt, JobRef, MachineId, Seconds, Session, TaskId, Team, Version
-from crosscleat.core.jobs import Job
-from crosscleat.core.model import JobSpec, Priority, TeamLimits, is_backfill
-from crosscleat.core.placements import Hold, Ledger, Machine
-from crosscleat.core.preemption import COUNTED_START_S, Preemption, Victim
+from crosscleat.core.model.deployment import TeamLimits, is_backfill
+from crosscleat.core.model.ids import (
+    Attempt,
+    JobRef,
+    MachineId,
+    Seconds,
+    Session,
+    TaskId,
+    Team,
+    Version,
+)
+from crosscleat.core.model.job_spec import JobSpec, Priority
+from crosscleat.core.scheduling.preemption import COUNTED_START_S, Preemption, Victim
+from crosscleat.core.state.allocations import Hold
+from crosscleat.core.state.cluster import Ledger
+from crosscleat.core.state.jobs import Job
+from crosscleat.core.state.machine import Machine
 
 from .test_fleet import fleet, full, refuse_cheap, want
 from .test_fleet import waiting as waiting_for
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -8,12 +8,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crosscleat.core.batch import Batch
-from crosscleat.core.effects import Item, Put
-from crosscleat.core.ids import ABSENT, Attempt, JobRef, MachineId, Seconds, Session, Version
-from crosscleat.core.jobs import CHUNK, Job
-from crosscleat.core.model import Priority
-from crosscleat.core.records import DropRecords, WorkRecords
+from crosscleat.core.model.ids import ABSENT, Attempt, JobRef, MachineId, Seconds, Session, Version
+from crosscleat.core.model.job_spec import Priority
+from crosscleat.core.model.store_calls import Item, Put
+from crosscleat.core.state.batch import Batch
+from crosscleat.core.state.decommission_records import DropRecords
+from crosscleat.core.state.jobs import CHUNK, Job
+from crosscleat.core.state.placement_records import WorkRecords
 
 from .world import job
 
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -8,8 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crosscleat.core.capacity import Choice
-from crosscleat.core.ids import (
+from crosscleat.core.model.ids import (
     Image,
     JobRef,
     MachineId,
@@ -19,11 +18,14 @@
     Version,
     Zone,
 )
-from crosscleat.core.jobs import Job
-from crosscleat.core.model import Priority, Shape
-from crosscleat.core.placements import Hold, Ledger, Machine
-from crosscleat.core.rounds import Round
-from crosscleat.core.scoring import RunTimes, Scorer
+from crosscleat.core.model.job_spec import Priority, Shape
+from crosscleat.core.scheduling.cycle import Round
+from crosscleat.core.scheduling.free_capacity import Choice
+from crosscleat.core.scheduling.scoring import RunTimes, Scorer
+from crosscleat.core.state.allocations import Hold
+from crosscleat.core.state.cluster import Ledger
+from crosscleat.core.state.jobs import Job
+from crosscleat.core.state.machine import Machine
 
 from .world import TEAMS, TYPES, deployment, job
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
-from crosscleat.core.ids import JobRef, Team, Zone
-from crosscleat.core.model import Priority, Shape
+from crosscleat.core.model.ids import JobRef, Team, Zone
+from crosscleat.core.model.job_spec import Priority, Shape
 
 from .world import MEMBERS, REGION, ZONES, World, job
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from crosscleat.cli import build_parser, read_knobs, variable
-from crosscleat.core.model import Knobs
+from crosscleat.core.model.deployment import Knobs
 from crosscleat.settings import SettingsError, parse
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -10,18 +10,22 @@
 from hypothesis import strategies as st
 
 from crosscleat.app import Sockets
-from crosscleat.core.effects import Direct, Part
-from crosscleat.core.feasibility import Feasibility
-from crosscleat.core.fleet import MOST_PER_RENTAL, MOST_PRICED, Fleet, Space
-from crosscleat.core.ids import JobRef, MachineId, Seconds, Team, Version, Zone
-from crosscleat.core.jobs import Chunk, Job
-from crosscleat.core.leader import MOST_COUNTS, WATCHED_PER_S
-from crosscleat.core.machines import Machines
-from crosscleat.core.model import Knobs, Priority, Shape, TeamLimits
-from crosscleat.core.placements import Hold, Ledger, Machine
-from crosscleat.core.rounds import LEAST_SAMPLE, MOST_JOBS, Round
-from crosscleat.core.scheduling import PROMPT_MACHINES
-from crosscleat.core.scoring import RunTimes, Scorer
+from crosscleat.core.capacity.fleet import MOST_PER_RENTAL, MOST_PRICED, Fleet, Space
+from crosscleat.core.capacity.machines import Machines
+from crosscleat.core.control.leader import MOST_COUNTS, WATCHED_PER_S
+from crosscleat.core.control.scheduler import PROMPT_MACHINES
+from crosscleat.core.model.deployment import Knobs, TeamLimits
+from crosscleat.core.model.effects import Part
+from crosscleat.core.model.ids import JobRef, MachineId, Seconds, Team, Version, Zone
+from crosscleat.core.model.job_spec import Priority, Shape
+from crosscleat.core.model.worker_calls import Direct
+from crosscleat.core.scheduling.cycle import LEAST_SAMPLE, MOST_JOBS, Round
+from crosscleat.core.scheduling.feasibility import Feasibility
+from crosscleat.core.scheduling.scoring import RunTimes, Scorer
+from crosscleat.core.state.allocations import Hold
+from crosscleat.core.state.cluster import Ledger
+from crosscleat.core.state.jobs import Chunk, Job
+from crosscleat.core.state.machine import Machine
 from crosscleat.wire import peers as peer_wire
 
 from .term import Term
--- a/tests/test_unresponsive_workers.py
+++ b/tests/test_unresponsive_workers.py
@@ -5,19 +5,15 @@
 import msgspec
 import pytest
 
-from crosscleat.core.effects import Answer, ClearOrder, DeleteMachines, Direct, Note, Orders
-from crosscleat.core.ids import (
-    Attempt,
-    JobRef,
-    MachineId,
-    Session,
-    TaskId,
-    Team,
-    Token,
-    Zone,
-)
-from crosscleat.core.placements import NOWHERE, UNKNOWN_TYPE, Hold, Ledger, Machine
-from crosscleat.core.reports import ListedMachine, TaskReport
+from crosscleat.core.model.cloud import ListedMachine
+from crosscleat.core.model.cloud_calls import DeleteMachines
+from crosscleat.core.model.effects import Answer, Note
+from crosscleat.core.model.heartbeats import TaskReport
+from crosscleat.core.model.ids import Attempt, JobRef, MachineId, Session, TaskId, Team, Token, Zone
+from crosscleat.core.model.worker_calls import ClearOrder, Direct, Orders
+from crosscleat.core.state.allocations import Hold
+from crosscleat.core.state.cluster import Ledger
+from crosscleat.core.state.machine import NOWHERE, UNKNOWN_TYPE, Machine
 
 from .term import TOKEN, Term, held
 from .world import LEASE_S, MEMBERS, TYPES, World, at_work, job
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,22 +11,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from crosscleat.core.controller import Submit
-from crosscleat.core.effects import (
-    Answer,
-    Commit,
-    Committed,
-    Conflict,
-    Found,
-    Item,
-    Later,
-    Listing,
-    Outbox,
-    Read,
-    Scan,
-)
-from crosscleat.core.election import Election
-from crosscleat.core.ids import (
+from crosscleat.core.election.election import Election
+from crosscleat.core.election.upgrade import Upgrade
+from crosscleat.core.model.effects import Answer, Later, Outbox
+from crosscleat.core.model.ids import (
     ABSENT,
     JobRef,
     LeaseId,
@@ -39,10 +27,22 @@
     Version,
     WallTime,
 )
-from crosscleat.core.jobs import CHUNK, Job, ended_record, live_record, spec_of
-from crosscleat.core.model import JobSpec, Shape
-from crosscleat.core.records import DropRecords, WorkRecords, span_of
-from crosscleat.core.upgrade import Upgrade
+from crosscleat.core.model.inputs import Submit
+from crosscleat.core.model.job_spec import JobSpec, Shape
+from crosscleat.core.model.store_calls import (
+    Commit,
+    Committed,
+    Conflict,
+    Found,
+    Item,
+    Listing,
+    Read,
+    Scan,
+)
+from crosscleat.core.state.decommission_records import DropRecords
+from crosscleat.core.state.job_records import ended_record, live_record, spec_of
+from crosscleat.core.state.jobs import CHUNK, Job
+from crosscleat.core.state.placement_records import WorkRecords, span_of
 from crosscleat.wire import peers
 
 from .effects import answered, only
--- a/tests/test_user_requests.py
+++ b/tests/test_user_requests.py
@@ -6,25 +6,23 @@
 
 import msgspec
 
-from crosscleat.core.effects import (
-    Answer,
+from crosscleat.core.control.user_requests import UserRequests
+from crosscleat.core.model.effects import Answer, Later, Outbox
+from crosscleat.core.model.ids import JobRef, Seconds, TypeName, Version, WallTime
+from crosscleat.core.model.job_spec import Shape
+from crosscleat.core.model.store_calls import (
     Commit,
     Conflict,
     Found,
     Item,
-    Later,
     Listing,
     News,
-    Outbox,
     Put,
     Read,
     Scan,
     Watch,
 )
-from crosscleat.core.ids import JobRef, Seconds, TypeName, Version, WallTime
-from crosscleat.core.jobs import live_record
-from crosscleat.core.model import Shape
-from crosscleat.core.user_requests import UserRequests
+from crosscleat.core.state.job_records import live_record
 
 from .effects import answered, only
 from .world import TYPES, deployment, job
--- a/tests/test_worker_client.py
+++ b/tests/test_worker_client.py
@@ -10,8 +10,8 @@
 
 from crosscleat.adapters import worker_client
 from crosscleat.adapters.worker_client import WorkerClient
-from crosscleat.core.effects import Direct
-from crosscleat.core.ids import Session, Token
+from crosscleat.core.model.ids import Session, Token
+from crosscleat.core.model.worker_calls import Direct
 
 from .standins import serve
 
--- a/tests/world/cloud.py
+++ b/tests/world/cloud.py
@@ -5,12 +5,9 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from crosscleat.core import effects as fx
-from crosscleat.core.ids import (
-    MachineId,
-    Zone,
-)
-from crosscleat.core.reports import ListedMachine
+from crosscleat.core.model.cloud import ListedMachine
+from crosscleat.core.model.cloud_calls import DeleteMachines, ListMachines, ListTypes, Rent
+from crosscleat.core.model.ids import MachineId, Zone
 
 from .scenario import (
     REGION,
@@ -31,12 +28,12 @@
     def cloud(self, member: str, effect: Any, back: Callable[..., None]) -> None:
         if self.world.cloud_down or not self.world.network.whole(member, REGION):
             self.world.clock.after(
-                2.0, lambda: back(False if isinstance(effect, fx.DeleteMachines) else None)
+                2.0, lambda: back(False if isinstance(effect, DeleteMachines) else None)
             )
             return
-        if isinstance(effect, fx.ListTypes):
+        if isinstance(effect, ListTypes):
             self.world.clock.after(0.1, lambda: back(list(TYPES)))
-        elif isinstance(effect, fx.ListMachines):
+        elif isinstance(effect, ListMachines):
             listed = [
                 ListedMachine(
                     MachineId(w.id), w.id, w.kind.name, Zone(w.zone), w.spot,
@@ -46,12 +43,12 @@
                 if not w.gone and self.world.clock.now - w.born > 2.0
             ]  # fmt: skip
             self.world.clock.after(self.world.rng.uniform(0.1, 3.0), lambda: back(listed))
-        elif isinstance(effect, fx.Rent):
+        elif isinstance(effect, Rent):
             self.rent(effect, back)
         else:
             self.delete(effect, back)
 
-    def rent(self, effect: fx.Rent, back: Callable[..., None]) -> None:
+    def rent(self, effect: Rent, back: Callable[..., None]) -> None:
         def serve() -> list[str] | bool:
             if effect.name in self.world.hires:
                 return self.world.hires[effect.name]
@@ -82,7 +79,7 @@
             self.world.clock.after(self.world.rng.uniform(1.0, 8.0), worker.boot)
         return name
 
-    def delete(self, effect: fx.DeleteMachines, back: Callable[..., None]) -> None:
+    def delete(self, effect: DeleteMachines, back: Callable[..., None]) -> None:
         def execute() -> None:
             for name in effect.machines:
                 if name in self.world.workers:
--- a/tests/world/gangs.py
+++ b/tests/world/gangs.py
@@ -4,13 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from crosscleat.core.ids import (
-    TaskId,
-)
-from crosscleat.core.model import (
-    JobSpec,
-    Shape,
-)
+from crosscleat.core.model.ids import TaskId
+from crosscleat.core.model.job_spec import JobSpec, Shape
 
 from .scenario import (
     GANG_PEER_S,
--- a/tests/world/helpers.py
+++ b/tests/world/helpers.py
@@ -4,14 +4,14 @@
 
 from typing import Any
 
-from crosscleat.core import effects as fx
-from crosscleat.core.jobs import FORMAT
+from crosscleat.core.model.store_calls import Commit, Scan
+from crosscleat.core.state.keys import FORMAT
 
 
 def is_of_upgrade(effect: Any) -> bool:
-    if isinstance(effect, fx.Commit):
+    if isinstance(effect, Commit):
         return any(write.key.startswith(FORMAT) for write in effect.writes)
-    return isinstance(effect, fx.Scan) and effect.prefix == FORMAT
+    return isinstance(effect, Scan) and effect.prefix == FORMAT
 
 
 def void(*_: object) -> None:
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -4,12 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from crosscleat.core.ids import (
-    TaskId,
-)
-from crosscleat.core.model import (
-    JobSpec,
-)
+from crosscleat.core.model.ids import TaskId
+from crosscleat.core.model.job_spec import JobSpec
 
 from .scenario import (
     CANCEL_S,
--- a/tests/world/scenario.py
+++ b/tests/world/scenario.py
@@ -4,24 +4,11 @@
 
 from typing import Any
 
-from crosscleat.core import effects as fx
-from crosscleat.core.ids import (
-    Image,
-    JobRef,
-    Member,
-    Team,
-    TypeName,
-    Zone,
-)
-from crosscleat.core.model import (
-    Deployment,
-    JobSpec,
-    Knobs,
-    MachineType,
-    Objective,
-    Priority,
-    TeamLimits,
-)
+from crosscleat.core.model.cloud import MachineType
+from crosscleat.core.model.deployment import Deployment, Knobs, Objective, TeamLimits
+from crosscleat.core.model.ids import Image, JobRef, Member, Team, TypeName, Zone
+from crosscleat.core.model.job_spec import JobSpec, Priority
+from crosscleat.core.model.store_calls import Commit, Grant, Read, Revoke, Scan, Touch
 
 REPORT_S = 2.0
 LEASE_S = 10.0
@@ -33,7 +20,7 @@
 USER_WAITS_S = 2.0
 SUBMITTER_WAITS_S = 5.0
 PATIENCE_S: dict[type, float] = {
-    fx.Commit: 2.0, fx.Read: 1.5, fx.Scan: 10.0, fx.Grant: 2.0, fx.Touch: 1.0, fx.Revoke: 2.0,
+    Commit: 2.0, Read: 1.5, Scan: 10.0, Grant: 2.0, Touch: 1.0, Revoke: 2.0,
 }  # fmt: skip
 """How long an answer of the store is waited for."""
 REGION = "region"
--- a/tests/world/store.py
+++ b/tests/world/store.py
@@ -6,9 +6,15 @@
 
 import msgspec
 
-from crosscleat.core import effects as fx
-from crosscleat.core.ids import (
-    Version,
+from crosscleat.core.model.ids import Version
+from crosscleat.core.model.store_calls import (
+    Commit,
+    Committed,
+    Conflict,
+    Item,
+    Listing,
+    NoSuchLease,
+    Put,
 )
 
 from .clock import Clock
@@ -70,21 +76,21 @@
     def version(self, key: str) -> int:
         return self.items[key][1] if key in self.items else 0
 
-    def commit(self, call: fx.Commit, unclear: bool) -> fx.Committed | fx.Conflict | fx.NoSuchLease:
+    def commit(self, call: Commit, unclear: bool) -> Committed | Conflict | NoSuchLease:
         self.expire()
         if not self.admits(call):
             self.too_large += 1
-            return fx.Conflict(frozenset(), unclear)
+            return Conflict(frozenset(), unclear)
         failed = frozenset(k for k, v in call.conditions if self.version(k) != v)
         if failed:
-            return fx.Conflict(failed, unclear)
+            return Conflict(failed, unclear)
         for write in call.writes:
-            if isinstance(write, fx.Put) and write.lease not in (None, *self._leases):
-                return fx.NoSuchLease()
+            if isinstance(write, Put) and write.lease not in (None, *self._leases):
+                return NoSuchLease()
         if call.writes:
             self.revision += 1
         for write in call.writes:
-            if isinstance(write, fx.Put):
+            if isinstance(write, Put):
                 # As sent and stored: a value is a copy, never the core's own object.
                 value = msgspec.msgpack.decode(msgspec.msgpack.encode(write.value))
                 self.items[write.key] = (value, self.revision, write.lease)
@@ -92,32 +98,32 @@
             else:
                 self.items.pop(write.key, None)
                 self._log.append((self.revision, write.key, None))
-        return fx.Committed(Version(self.revision))
+        return Committed(Version(self.revision))
 
-    def admits(self, call: fx.Commit) -> bool:
+    def admits(self, call: Commit) -> bool:
         value_kb, ops = self.limits
-        values = [msgspec.json.encode(w.value) for w in call.writes if isinstance(w, fx.Put)]
+        values = [msgspec.json.encode(w.value) for w in call.writes if isinstance(w, Put)]
         return (
             all(len(value) <= value_kb * 1024 for value in values)
             and len(call.writes) <= ops
             and len(call.conditions) <= 4 * ops
         )
 
-    def item(self, key: str) -> fx.Item | None:
+    def item(self, key: str) -> Item | None:
         if key not in self.items:
             return None
         value, version, _ = self.items[key]
-        return fx.Item(key, value, Version(version))
+        return Item(key, value, Version(version))
 
-    def listing(self, prefix: str) -> fx.Listing:
+    def listing(self, prefix: str) -> Listing:
         self.expire()
         found = [self.item(key) for key in sorted(self.items) if key.startswith(prefix)]
-        return fx.Listing([item for item in found if item], Version(self.revision))
+        return Listing([item for item in found if item], Version(self.revision))
 
-    def news(self, prefix: str, after: int) -> list[fx.Item]:
+    def news(self, prefix: str, after: int) -> list[Item]:
         self.expire()
         return [
-            fx.Item(key, value, Version(0 if value is None else revision))
+            Item(key, value, Version(0 if value is None else revision))
             for revision, key, value in self._log
             if revision > after and key.startswith(prefix)
         ]
--- a/tests/world/users.py
+++ b/tests/world/users.py
@@ -4,20 +4,10 @@
 
 from typing import TYPE_CHECKING
 
-from crosscleat.core import effects as fx
-from crosscleat.core.controller import (
-    Abort,
-    Poll,
-    Refuse,
-    Submit,
-)
-from crosscleat.core.ids import (
-    JobRef,
-    TaskId,
-)
-from crosscleat.core.model import (
-    JobSpec,
-)
+from crosscleat.core.model.effects import Answer
+from crosscleat.core.model.ids import JobRef, TaskId
+from crosscleat.core.model.inputs import Abort, Poll, Refuse, Submit
+from crosscleat.core.model.job_spec import JobSpec
 
 from .scenario import (
     MEMBERS,
@@ -40,7 +30,7 @@
         self.world.specs[spec.ref] = spec
         sent = self.world.clock.now
 
-        def answered(answer: fx.Answer) -> None:
+        def answered(answer: Answer) -> None:
             if self.world.clock.now - sent > SUBMITTER_WAITS_S:
                 return
             if answer.status in (200, 201):
@@ -74,7 +64,7 @@
         known = ref in self.world.accepted
         sent = self.world.clock.now
 
-        def answered(answer: fx.Answer) -> None:
+        def answered(answer: Answer) -> None:
             if self.world.clock.now - sent > USER_WAITS_S:
                 return
             if answer.status in (200, 404):
@@ -91,7 +81,7 @@
     def refused(self, spec: JobSpec | None, ref: str, status: int) -> None:
         """A submission that can't be accepted: it fits no machine, or lacks a field."""
 
-        def answered(answer: fx.Answer) -> None:
+        def answered(answer: Answer) -> None:
             if answer.status != 503 and answer.status != (
                 200 if ref in self.world.accepted else status
             ):
@@ -125,7 +115,7 @@
         self.world.cancel_asked.add(ref)
         sent = self.world.clock.now
 
-        def answered(answer: fx.Answer) -> None:
+        def answered(answer: Answer) -> None:
             if self.world.clock.now - sent > USER_WAITS_S:
                 return
             if answer.status == 200:
--- a/tests/world/worker.py
+++ b/tests/world/worker.py
@@ -6,20 +6,11 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from crosscleat.core import effects as fx
-from crosscleat.core.ids import (
-    Attempt,
-    MachineId,
-    Seen,
-    Session,
-    TaskId,
-    Zone,
-)
-from crosscleat.core.model import (
-    MachineType,
-    Shape,
-)
-from crosscleat.core.reports import Report, TaskReport
+from crosscleat.core.model.cloud import MachineType
+from crosscleat.core.model.heartbeats import Report, TaskReport
+from crosscleat.core.model.ids import Attempt, MachineId, Seen, Session, TaskId, Zone
+from crosscleat.core.model.job_spec import Shape
+from crosscleat.core.model.worker_calls import ClearOrder, Direct, Order, Orders, StartOrder
 
 from .scenario import LEASE_S, MEMBERS, REPORT_S
 
@@ -129,13 +120,13 @@
         report = self.report()
         member = self.world.members[self.node % len(MEMBERS)]
 
-        def answered(answer: fx.Orders | None) -> None:
+        def answered(answer: Orders | None) -> None:
             self.when_awake(lambda: self.take(number, session, sent, answer))
 
         self.world.deliver_check_in(self.id, member, report, answered)
         self.world.clock.after(4.0, lambda: self.take(number, session, sent, None))
 
-    def take(self, number: int, session: int, sent: float, answer: fx.Orders | None) -> None:
+    def take(self, number: int, session: int, sent: float, answer: Orders | None) -> None:
         if self.gone or number != self.report_number:
             return
         now = self.world.clock.now
@@ -154,22 +145,22 @@
             self.execute(answer.orders)
         self.world.clock.after(pause, self.check_in)
 
-    def direct(self, call: fx.Direct) -> Report:
+    def direct(self, call: Direct) -> Report:
         if call.token >= self.token and call.session == self.session:
             self.token = call.token
             self.execute(call.orders)
         return self.report()
 
-    def execute(self, orders: tuple[fx.Order, ...]) -> None:
+    def execute(self, orders: tuple[Order, ...]) -> None:
         for order in orders:
             task = TaskId.parse(order.task)
             assert task is not None
             key = (task, int(order.attempt))
-            if isinstance(order, fx.StartOrder):
+            if isinstance(order, StartOrder):
                 self.start(key)
             elif key in self.tasks:
                 held = self.tasks[key]
-                if isinstance(order, fx.ClearOrder):
+                if isinstance(order, ClearOrder):
                     assert held.state == "exited", "only exited tasks are cleared"
                     del self.tasks[key]
                 elif held.state != "exited":
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -13,12 +13,15 @@
 from random import Random
 from typing import Any
 
-from crosscleat.core import effects as fx
-from crosscleat.core.controller import (
+from crosscleat.core.control.controller import Controller
+from crosscleat.core.model.cloud_calls import DeleteMachines, ListMachines, ListTypes, Rent
+from crosscleat.core.model.effects import Answer, Effect, Later, Note, Part, Propose, Tell
+from crosscleat.core.model.heartbeats import Report
+from crosscleat.core.model.ids import LeaseId, Member, Seconds, TaskId, Team, Version, WallTime
+from crosscleat.core.model.inputs import (
     Began,
     CheckIn,
     Completed,
-    Controller,
     PartGiven,
     PeerGone,
     Probed,
@@ -26,19 +29,20 @@
     Proposed,
     Tick,
 )
-from crosscleat.core.ids import (
-    LeaseId,
-    Member,
-    Seconds,
-    TaskId,
-    Team,
-    Version,
-    WallTime,
+from crosscleat.core.model.job_spec import JobSpec
+from crosscleat.core.model.store_calls import (
+    Commit,
+    Found,
+    Grant,
+    Listing,
+    News,
+    Read,
+    Revoke,
+    Scan,
+    Touch,
+    Watch,
 )
-from crosscleat.core.model import (
-    JobSpec,
-)
-from crosscleat.core.reports import Report
+from crosscleat.core.model.worker_calls import Direct, Orders, Probe
 
 from .clock import Clock
 from .cloud import Cloud
@@ -219,7 +223,7 @@
             process.stalls_s = stalls
             self.carry_out_all(member, process, effects)
 
-    def carry_out_all(self, member: str, process: Process, effects: list[fx.Effect]) -> None:
+    def carry_out_all(self, member: str, process: Process, effects: list[Effect]) -> None:
         if process.alive:
             for effect in effects:
                 self.carry_out(member, process, effect)
@@ -239,35 +243,35 @@
         process.requests[number] = then
         self.feed(member, process, make(number))
 
-    def carry_out(self, member: str, process: Process, effect: fx.Effect) -> None:  # noqa: C901 - one case a message
+    def carry_out(self, member: str, process: Process, effect: Effect) -> None:  # noqa: C901 - one case a message
         def back(*results: Any) -> None:
             call: Any = effect
             self.feed(member, process, Completed(call.then, results))
 
         match effect:
-            case fx.Answer() | fx.Orders():
+            case Answer() | Orders():
                 then = process.requests.pop(effect.request, None)
                 if then is not None:
                     then(effect)
-            case fx.Later():
+            case Later():
                 self.clock.after(effect.delay_s, lambda: back())
-            case fx.Tell():
+            case Tell():
                 counts = Progress(effect.message)
                 for other in MEMBERS:
                     if other != member and self.network.whole(member, other):
                         self.clock.after(0.01, partial(self.hear, other, counts))
-            case fx.Note():
+            case Note():
                 pass
-            case fx.Probe():
+            case Probe():
                 for other in MEMBERS:
                     if other != member:
                         self.network.send(member, other, partial(self.probe, member, other, effect))
-            case fx.Part():
+            case Part():
                 other = effect.member
                 self.network.send(
                     member, other, lambda: self.hear(other, PartGiven(Member(member), effect.view))
                 )
-            case fx.Propose():
+            case Propose():
                 other = effect.member
                 told = Proposed(Member(member), effect.proposal)
 
@@ -276,16 +280,16 @@
 
                 # An owner may be slow, and its proposal outdated when it comes.
                 self.clock.after(self.rng.choice((0.0, 0.0, 0.0, 0.3, 5.2)), propose)
-            case fx.Revoke():
+            case Revoke():
                 self.state(member, effect, lambda *_: None)
-            case fx.Direct():
+            case Direct():
                 self.direct(member, effect, back)
-            case fx.Rent() | fx.DeleteMachines() | fx.ListMachines() | fx.ListTypes():
+            case Rent() | DeleteMachines() | ListMachines() | ListTypes():
                 self.clouds.cloud(member, effect, back)
             case _:
                 self.state(member, effect, back)
 
-    def probe(self, member: str, other: str, asked: fx.Probe) -> None:
+    def probe(self, member: str, other: str, asked: Probe) -> None:
         if self.processes[other] is None:
             return
 
@@ -293,7 +297,7 @@
             if report is not None:
                 self.network.send(other, member, lambda: self.hear(member, Probed(report)))
 
-        call = fx.Direct(asked.address, asked.token, asked.session, (), void)
+        call = Direct(asked.address, asked.token, asked.session, (), void)
         self.direct(other, call, found)
 
     def hear(self, member: str, told: Any) -> None:
@@ -307,17 +311,17 @@
         delay = self.rng.uniform(0.002, 0.02)
         if member in self.old and is_of_upgrade(effect):
             # The version before neither writes such keys nor reads them.
-            listing = fx.Listing([], Version(self.store.revision))
-            result = listing if isinstance(effect, fx.Scan) else None
+            listing = Listing([], Version(self.store.revision))
+            result = listing if isinstance(effect, Scan) else None
             self.clock.after(delay, lambda: back(result))
             return
-        if isinstance(effect, fx.Watch):
+        if isinstance(effect, Watch):
             self.clock.after(delay, lambda: self.watch(member, effect, back, effect.block_s))
             return
-        if isinstance(effect, fx.Commit) and self.rng.random() < self.flaky:
+        if isinstance(effect, Commit) and self.rng.random() < self.flaky:
             self.clock.after(delay, lambda: self.flaky_commit(effect, back))
             return
-        if not isinstance(effect, (fx.Read, fx.Scan)) and self.rng.random() < self.late_writes:
+        if not isinstance(effect, (Read, Scan)) and self.rng.random() < self.late_writes:
             # Also the end or the renewal of a lease, which is harmless only while it is ours.
             self.clock.after(self.rng.uniform(2.0, 12.0), lambda: void(self.serve(effect)))
             self.clock.after(1.0, lambda: back(None))
@@ -325,7 +329,7 @@
         if self.slow_store_s:
             delay = self.rng.uniform(0.0, self.slow_store_s) / 2.0
         back_s = delay
-        if isinstance(effect, fx.Scan):
+        if isinstance(effect, Scan):
             back_s += self.slow_scans.get(effect.prefix, 0.0)
         patience_s = PATIENCE_S[type(effect)]
 
@@ -346,7 +350,7 @@
     def reaches_store(self, member: str) -> bool:
         return self.store.serves(member) and self.network.whole(member, REGION)
 
-    def flaky_commit(self, effect: fx.Commit, back: Callable[..., None]) -> None:
+    def flaky_commit(self, effect: Commit, back: Callable[..., None]) -> None:
         """No answer: executed now, or minutes later, and perhaps tried again meanwhile."""
         late = self.rng.choice((0.0, 0.3, 5.0, 60.0))
         # Only once the service is back can it execute what was held up.
@@ -358,30 +362,30 @@
 
     def serve(self, effect: Any) -> Any:
         match effect:
-            case fx.Commit():
+            case Commit():
                 return self.store.commit(effect, False)
-            case fx.Read():
+            case Read():
                 self.store.expire()
-                return fx.Found(self.store.item(effect.key), Version(self.store.revision))
-            case fx.Scan():
+                return Found(self.store.item(effect.key), Version(self.store.revision))
+            case Scan():
                 return self.store.listing(effect.prefix)
-            case fx.Grant():
+            case Grant():
                 return LeaseId(self.store.grant(effect.life_s))
-            case fx.Touch():
+            case Touch():
                 self.store.expire()
                 return self.store.touch(effect.lease)
-            case fx.Revoke():
+            case Revoke():
                 return self.store.revoke(effect.lease)
         raise TypeError(effect)
 
-    def watch(self, member: str, effect: fx.Watch, back: Callable[..., None], left: float) -> None:
+    def watch(self, member: str, effect: Watch, back: Callable[..., None], left: float) -> None:
         news = self.store.news(effect.prefix, effect.after) if self.store.serves(member) else []
         if not self.network.whole(member, REGION) or member in self.slow_watches:
             self.clock.after(0.5, lambda: back(None))
         elif not self.store.serves(member) and left <= 0.0:
             back(None)
         elif news or left <= 0.0:
-            back(fx.News(Version(self.store.revision), news))
+            back(News(Version(self.store.revision), news))
         else:
             pause = min(0.05, max(0.01, left))
             self.clock.after(pause, lambda: self.watch(member, effect, back, left - pause))
@@ -392,7 +396,7 @@
         self, worker: str, member: str, report: Report, answered: Callable[[Any], None]
     ) -> None:
         def answer(result: Any) -> None:
-            orders = result if isinstance(result, fx.Orders) else None
+            orders = result if isinstance(result, Orders) else None
             self.network.send(member, worker, lambda: answered(orders))
 
         if worker in self.mute:
@@ -437,7 +441,7 @@
             ),
         )
 
-    def direct(self, member: str, call: fx.Direct, back: Callable[..., None]) -> None:
+    def direct(self, member: str, call: Direct, back: Callable[..., None]) -> None:
         state = {"open": True}
 
         def close(report: Report | None, perhaps: bool) -> None:
@@ -460,9 +464,7 @@
             self.clock.after(0.01, lambda: close(None, False))
         self.clock.after(2.0, lambda: close(None, True))
 
-    def execute_direct(
-        self, member: str, call: fx.Direct, answer: Callable[[Report], None]
-    ) -> None:
+    def execute_direct(self, member: str, call: Direct, answer: Callable[[Report], None]) -> None:
         """The worker does what it is told, now or when it wakes; its answer may be lost."""
         worker = self.workers.get(call.address)
         if worker is None or worker.gone or not worker.up:
