--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,21 +13,21 @@
 
 from crosscleat.core.election.election import Election
 from crosscleat.core.election.upgrade import Upgrade
-from crosscleat.core.model.effects import Answer, Later, Outbox
+from crosscleat.core.model.effects import Delay, Outbox, Response
 from crosscleat.core.model.ids import (
     ABSENT,
+    AgentEpoch,
     JobRef,
     LeaseId,
     MachineId,
     Member,
     Seconds,
-    Session,
     Team,
     TypeName,
     Version,
     WallTime,
 )
-from crosscleat.core.model.inputs import Submit
+from crosscleat.core.model.inputs import SubmitJob
 from crosscleat.core.model.job_spec import JobSpec, Shape
 from crosscleat.core.model.store_calls import (
     Commit,
@@ -39,10 +39,10 @@
     Read,
     Scan,
 )
-from crosscleat.core.state.decommission_records import DropRecords
+from crosscleat.core.state.decommission_records import DecommissionRecords
 from crosscleat.core.state.job_records import ended_record, live_record, spec_of
 from crosscleat.core.state.jobs import CHUNK, Job
-from crosscleat.core.state.placement_records import WorkRecords, span_of
+from crosscleat.core.state.placement_records import PlacementRecords, chunk_length_for
 from crosscleat.wire import peers
 
 from .effects import answered, only
@@ -79,8 +79,8 @@
     "0000000b93a572656c617903c40178": peers.Relay(3, b"x"),
     "0000000f94a772656c6179656403ccc8c40179": peers.Relayed(3, 200, b"y"),
     "0000001292a6636f756e747381a56a6f622d31920102": peers.Counts({"job-1": (1, 2)}),
-    "0000001494a570726f6265aa31302e302e302e313a392901": peers.Probe("10.0.0.1:9", 41, 1),
-    "0000000b92a670726f626564c4017a": peers.Probed(b"z"),
+    "0000001494a570726f6265aa31302e302e302e313a392901": peers.IndirectProbe("10.0.0.1:9", 41, 1),
+    "0000000b92a670726f626564c4017a": peers.ProbeReply(b"z"),
 }
 PART_394DFE6 = (
     "000000f392a47061727496079196dc0014aa6a6f622d303030343132a5706c61696ea37265640103cb4000000000"
@@ -136,7 +136,7 @@
     return found
 
 
-def stored(records: WorkRecords, version: int = 9) -> list[Item]:
+def stored(records: PlacementRecords, version: int = 9) -> list[Item]:
     return [
         Item(r.key, msgspec.msgpack.decode(msgspec.msgpack.encode(r.value())), Version(version + n))
         for n, r in enumerate(records)
@@ -149,13 +149,13 @@
     }
     for chunk in one.chunks.values():
         for index, placed in chunk.placed.items():
-            state[index] = (placed.attempt, placed.machine, placed.session)
+            state[index] = (placed.attempt, placed.machine, placed.agent_epoch)
     return state
 
 
-def spread(records: WorkRecords, one: Job, placed: int, done: int) -> None:
+def spread(records: PlacementRecords, one: Job, placed: int, done: int) -> None:
     for _ in range(placed):
-        task, _ = one.place(MachineId("m-000007"), Session(1))
+        task, _ = one.place(MachineId("m-000007"), AgentEpoch(1))
         records.of(one, one.chunk_of(task.number)).want(one.spec.priority, NOW)
     for index in range(done):
         one.finish(index)
@@ -168,19 +168,21 @@
         JobRef("job-000413"): Job(job("job-000413", tasks=401), Version(4), NOW),
     }
     items = [Item(key, value, Version(5)) for key, value in WORK_394DFE6.items()]
-    WorkRecords(16.0, 8, True).load(items, jobs)
+    PlacementRecords(16.0, 8, True).load(items, jobs)
     wanted = read_by_394dfe6(WORK_394DFE6)
     for ref, one in jobs.items():
         one.loaded()
         assert state_of(one) == wanted[ref]
     assert jobs[SPEC.ref].chunks[0].tries == {1: 1, 2: 1}
-    drops = DropRecords(16.0)
-    assert drops.load([Item("drop/1", {"machines": ["m-000009"]}, Version(2))]) == ["m-000009"]
+    decommission_records = DecommissionRecords(16.0)
+    assert decommission_records.load([Item("drop/1", {"machines": ["m-000009"]}, Version(2))]) == [
+        "m-000009"
+    ]
     for sample, message in FRAMES_394DFE6.items():
         assert peers.parse(bytes.fromhex(sample)[4:]) == message
     part = peers.parse(bytes.fromhex(PART_394DFE6)[4:])
-    assert isinstance(part, peers.Part) and part.view.jobs[0].spec == SPEC
-    assert isinstance(peers.parse(bytes.fromhex(PROPOSED_394DFE6)[4:]), peers.Proposed)
+    assert isinstance(part, peers.ShardRequest) and part.view.jobs[0].spec == SPEC
+    assert isinstance(peers.parse(bytes.fromhex(PROPOSED_394DFE6)[4:]), peers.ShardProposed)
 
 
 def test_the_leader_key_is_read_and_written_as_by_production() -> None:
@@ -197,28 +199,28 @@
 
 
 def test_what_production_says_of_an_ended_job_is_answered() -> None:
-    for aborted, status in ((False, "done"), (True, "aborted")):
+    for cancelled, status in ((False, "done"), (True, "aborted")):
         requests, out = user_requests()
-        requests.abort(1, JobRef("job-000412"))
-        only(out, Read).then(Found(None, Version(8)))
-        record = {"tasks": 3, "aborted": aborted}
+        requests.cancel(1, JobRef("job-000412"))
+        only(out, Read).continuation(Found(None, Version(8)))
+        record = {"tasks": 3, "aborted": cancelled}
         item = Item("ended/job-000412", record, Version(7))
-        only(out, Read).then(Found(item, Version(8)))
+        only(out, Read).continuation(Found(item, Version(8)))
         answer = answered(out)
         assert answer.status == 200 and answer.body["status"] == status
 
 
 def test_what_is_written_before_all_have_changed_is_as_production_writes_it() -> None:
-    record = msgspec.to_builtins(live_record(SPEC, WallTime(1700000000.25), aborted=False))
+    record = msgspec.to_builtins(live_record(SPEC, WallTime(1700000000.25), cancelled=False))
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(record)) == LIVE_394DFE6
     assert msgspec.convert(record["spec"], Spec394dfe6).ref == SPEC.ref
-    assert ended_record(3, aborted=False) == {"tasks": 3, "aborted": False}
+    assert ended_record(3, cancelled=False) == {"tasks": 3, "aborted": False}
     for sample, message in FRAMES_394DFE6.items():
         assert peers.frame(message).hex() == sample
     part = peers.parse(bytes.fromhex(PART_394DFE6)[4:])
     assert peers.frame(part).hex() == PART_394DFE6
-    drops, room = DropRecords(SMALL_KB).open()
-    assert drops.put([MachineId("m-000009")]).value == {"machines": ["m-000009"]}
+    decommission_records, room = DecommissionRecords(SMALL_KB).open()
+    assert decommission_records.put([MachineId("m-000009")]).value == {"machines": ["m-000009"]}
     assert room >= 50
 
 
@@ -226,8 +228,8 @@
 def test_production_reads_what_is_written_before_all_have_changed(
     tasks: int, data: st.DataObject
 ) -> None:
-    records = WorkRecords(SMALL_KB, SMALL_OPS, cut=False)
-    one = Job(job("job-1", tasks=tasks), Version(1), NOW, records.span)
+    records = PlacementRecords(SMALL_KB, SMALL_OPS, cut=False)
+    one = Job(job("job-1", tasks=tasks), Version(1), NOW, records.chunk_length)
     placed = data.draw(st.integers(0, tasks))
     spread(records, one, placed, data.draw(st.integers(0, placed)))
     items = {item.key: item.value for item in stored(records)}
@@ -240,15 +242,15 @@
 def test_large_records_are_written_anew_in_small_ones_and_no_task_is_lost(
     sizes: list[int], data: st.DataObject
 ) -> None:
-    old = WorkRecords(16.0, 8, cut=False)
+    old = PlacementRecords(16.0, 8, cut=False)
     before = {JobRef(f"job-{n}"): Job(job(f"job-{n}", tasks=size), Version(1), NOW)
               for n, size in enumerate(sizes)}  # fmt: skip
     for one in before.values():
         placed = data.draw(st.integers(0, one.spec.tasks))
         spread(old, one, placed, data.draw(st.integers(0, placed)))
     items = stored(old, version=2)
-    small = WorkRecords(SMALL_KB, SMALL_OPS, cut=True)
-    after = {ref: Job(one.spec, Version(1), NOW, small.span) for ref, one in before.items()}
+    small = PlacementRecords(SMALL_KB, SMALL_OPS, cut=True)
+    after = {ref: Job(one.spec, Version(1), NOW, small.chunk_length) for ref, one in before.items()}
     small.load(items, after)
     removable = small.superseded()
     # Some are written anew, then the leader ends: the next one finds both, and the later holds.
@@ -266,8 +268,8 @@
         for index in list(chunk.placed):
             job_of.finish(index)
         part[0] = stored(small, version=50)[0]
-    third = WorkRecords(SMALL_KB, SMALL_OPS, cut=True)
-    again = {ref: Job(one.spec, Version(1), NOW, third.span) for ref, one in before.items()}
+    third = PlacementRecords(SMALL_KB, SMALL_OPS, cut=True)
+    again = {ref: Job(one.spec, Version(1), NOW, third.chunk_length) for ref, one in before.items()}
     third.load([*kept, *part], again)
     for ref, one in again.items():
         one.loaded()
@@ -280,11 +282,11 @@
 
 
 def test_a_record_goes_only_when_all_of_it_is_written_anew() -> None:
-    old = WorkRecords(16.0, 8, cut=False)
+    old = PlacementRecords(16.0, 8, cut=False)
     one = Job(job("job-1", tasks=150), Version(1), NOW)
     spread(old, one, 150, 0)
-    small = WorkRecords(SMALL_KB, SMALL_OPS, cut=True)
-    jobs = {one.ref: Job(one.spec, Version(1), NOW, small.span)}
+    small = PlacementRecords(SMALL_KB, SMALL_OPS, cut=True)
+    jobs = {one.ref: Job(one.spec, Version(1), NOW, small.chunk_length)}
     small.load(stored(old), jobs)
     records = list(small)
     assert len(records) == 4 and small.superseded() == []
@@ -316,8 +318,8 @@
     def run(self, steps: int = 20) -> None:
         for _ in range(steps):
             for effect in self.out.take():
-                if isinstance(effect, Later):
-                    effect.then()
+                if isinstance(effect, Delay):
+                    effect.continuation()
                 elif isinstance(effect, Commit):
                     ((key, version),) = effect.conditions
                     assert version == ABSENT and effect.writes[0].key == key
@@ -325,10 +327,10 @@
                     if self.answers:
                         self.keys.add(key)
                     done = Committed(Version(1)) if new else Conflict(frozenset((key,)), False)
-                    effect.then(done if self.answers else None)
+                    effect.continuation(done if self.answers else None)
                 elif isinstance(effect, Scan):
                     items = [Item(key, {"version": 2}, Version(1)) for key in sorted(self.keys)]
-                    effect.then(Listing(items, Version(1)) if self.answers else None)
+                    effect.continuation(Listing(items, Version(1)) if self.answers else None)
 
 
 def test_all_have_changed_once_each_has_put_its_key_and_that_outlives_restarts() -> None:
@@ -367,10 +369,10 @@
     assert not any(isinstance(effect, Commit) for effect in effects)
     # A repeat of one that was accepted is answered; what nobody knows is told when to come back.
     (scan,) = [effect for effect in effects if isinstance(effect, Scan)]
-    scan.then(Listing([], Version(1)))
+    scan.continuation(Listing([], Version(1)))
     (read,) = [effect for effect in out.take() if isinstance(effect, Read)]
-    read.then(Found(None, Version(1)))
-    (answer,) = [effect for effect in out.take() if isinstance(effect, Answer)]
+    read.continuation(Found(None, Version(1)))
+    (answer,) = [effect for effect in out.take() if isinstance(effect, Response)]
     assert answer.status == 503 and answer.retry_after_s == 1
 
 
@@ -423,7 +425,7 @@
         (leader,) = [
             p.controller.leader for p in world.processes.values() if p and p.controller.leader
         ]
-        assert leader.work.span == span_of(SMALL_KB)
+        assert leader.placement_records.chunk_length == chunk_length_for(SMALL_KB)
     world.drop_limits()
     world.users.submit(job("job-g", tasks=3, estimate_s=6.0, team=Team("blue"), shape=Shape.GANG))
     world.users.submit(
@@ -470,11 +472,11 @@
     assert world.told_final["job-g"] == "done"
 
 
-def answers_to(world: World, member: str, spec: JobSpec) -> list[Answer]:
-    found: list[Answer] = []
+def answers_to(world: World, member: str, spec: JobSpec) -> list[Response]:
+    found: list[Response] = []
     world.specs[spec.ref] = spec
     world.users.accepted_when_stored(spec.ref)
-    world.ask(member, lambda number: Submit(number, spec), found.append)
+    world.ask(member, lambda number: SubmitJob(number, spec), found.append)
     world.clock.advance(1.0)
     return found
 
@@ -561,6 +563,6 @@
 
 
 def test_a_chunk_of_two_hundred_is_cut_only_for_small_values() -> None:
-    assert WorkRecords(16.0, 8, cut=True).span == CHUNK
-    assert WorkRecords(SMALL_KB, SMALL_OPS, cut=True).span == 42
-    assert WorkRecords(SMALL_KB, SMALL_OPS, cut=False).span == CHUNK
+    assert PlacementRecords(16.0, 8, cut=True).chunk_length == CHUNK
+    assert PlacementRecords(SMALL_KB, SMALL_OPS, cut=True).chunk_length == 42
+    assert PlacementRecords(SMALL_KB, SMALL_OPS, cut=False).chunk_length == CHUNK
--- a/tests/test_user_requests.py
+++ b/tests/test_user_requests.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from crosscleat.core.control.user_requests import UserRequests
-from crosscleat.core.model.effects import Answer, Later, Outbox
+from crosscleat.core.model.effects import Delay, Outbox, Response
 from crosscleat.core.model.ids import JobRef, Seconds, TypeName, Version, WallTime
 from crosscleat.core.model.job_spec import Shape
 from crosscleat.core.model.store_calls import (
@@ -16,11 +16,11 @@
     Found,
     Item,
     Listing,
-    News,
     Put,
     Read,
     Scan,
     Watch,
+    WatchResult,
 )
 from crosscleat.core.state.job_records import live_record
 
@@ -34,8 +34,8 @@
     return UserRequests(deployment("c0"), out, known, lambda: Seconds(100.0), lambda: True), out
 
 
-def live(ref: str, version: int, aborted: bool = False) -> Item:
-    return Item(f"live/{ref}", live_record(job(ref), WallTime(0.0), aborted), Version(version))
+def live(ref: str, version: int, cancelled: bool = False) -> Item:
+    return Item(f"live/{ref}", live_record(job(ref), WallTime(0.0), cancelled), Version(version))
 
 
 def submit(**changes: Any) -> list[Any]:
@@ -70,79 +70,81 @@
 def test_without_machine_types_nothing_is_decided() -> None:
     requests, out = user_requests(types=False)
     requests.submit(1, job("job-1"), WallTime(0.0))
-    only(out, Scan).then(None)
+    only(out, Scan).continuation(None)
     (answer,) = out.take()
-    assert answer == Answer(1, 503, None, 1)
+    assert answer == Response(1, 503, None, 1)
 
 
 def test_an_admission_that_met_the_job_answers_with_its_state() -> None:
     requests, out = user_requests()
     requests.submit(1, job("job-1"), WallTime(0.0))
-    only(out, Commit).then(Conflict(frozenset({"live/job-1"}), False))
-    only(out, Scan).then(Listing([live("job-1", 3)], Version(3)))
+    only(out, Commit).continuation(Conflict(frozenset({"live/job-1"}), False))
+    only(out, Scan).continuation(Listing([live("job-1", 3)], Version(3)))
     assert answered(out).body["status"] == "queued"
 
 
 def copied() -> tuple[UserRequests, Outbox]:
     """One whose copy has job-1 and job-2, as of revision 5."""
     requests, out = user_requests()
-    requests.poll(1, JobRef("job-1"))
-    only(out, Scan).then(Listing([live("job-1", 4), live("job-2", 5)], Version(5)))
+    requests.query(1, JobRef("job-1"))
+    only(out, Scan).continuation(Listing([live("job-1", 4), live("job-2", 5)], Version(5)))
     assert out.take() == [
-        Answer(1, 200, {"ref": "job-1", "status": "queued", "done": 0, "running": 0})
+        Response(1, 200, {"ref": "job-1", "status": "queued", "done": 0, "running": 0})
     ]
     return requests, out
 
 
 def test_questions_share_a_read_that_began_after_them() -> None:
     requests, out = copied()
-    requests.poll(2, JobRef("job-1"))
+    requests.query(2, JobRef("job-1"))
     # Looks are not closer than the store's allowance admits.
-    pause = only(out, Later)
-    requests.poll(3, JobRef("job-2"))
-    pause.then()
+    pause = only(out, Delay)
+    requests.query(3, JobRef("job-2"))
+    pause.continuation()
     look = only(out, Watch)
     assert look.after == 5 and look.block_s == 0.0
-    requests.poll(4, JobRef("job-2"))
+    requests.query(4, JobRef("job-2"))
     assert out.take() == [], "it came after the look began"
-    look.then(News(Version(7), [live("job-1", 7, aborted=True)]))
+    look.continuation(WatchResult(Version(7), [live("job-1", 7, cancelled=True)]))
     *answers, later = out.take()
-    assert [a.body["status"] for a in answers if isinstance(a, Answer) and a.body] == [
+    assert [a.body["status"] for a in answers if isinstance(a, Response) and a.body] == [
         "aborted",
         "queued",
     ]
-    assert len(answers) == 2 and isinstance(later, Later)
-    later.then()
+    assert len(answers) == 2 and isinstance(later, Delay)
+    later.continuation()
     look = only(out, Watch)
     assert look.after == 7
-    look.then(News(Version(9), [Item("live/job-2", None, Version(0))]))
+    look.continuation(WatchResult(Version(9), [Item("live/job-2", None, Version(0))]))
     read = only(out, Read)
     assert read.key == "ended/job-2"
     assert not read.for_user, "not from the allowance that questions about unknown jobs use up"
-    read.then(Found(Item("ended/job-2", {"tasks": 3, "aborted": False}, Version(9)), Version(9)))
+    read.continuation(
+        Found(Item("ended/job-2", {"tasks": 3, "aborted": False}, Version(9)), Version(9))
+    )
     answer = answered(out)
     assert answer.request == 4 and answer.body["status"] == "done"
 
 
 def test_a_lost_look_is_answered_at_once_and_a_copy_too_old_is_read_anew() -> None:
     requests, out = copied()
-    requests.poll(2, JobRef("job-1"))
-    only(out, Later).then()
-    only(out, Watch).then(None)
-    assert out.take() == [Answer(2, 503, None, 1)]
-    requests.poll(3, JobRef("job-2"))
-    only(out, Later).then()
-    only(out, Watch).then(News(Version(5), [], lost=True))
-    only(out, Scan).then(Listing([live("job-2", 99, aborted=True)], Version(99)))
+    requests.query(2, JobRef("job-1"))
+    only(out, Delay).continuation()
+    only(out, Watch).continuation(None)
+    assert out.take() == [Response(2, 503, None, 1)]
+    requests.query(3, JobRef("job-2"))
+    only(out, Delay).continuation()
+    only(out, Watch).continuation(WatchResult(Version(5), [], lost=True))
+    only(out, Scan).continuation(Listing([live("job-2", 99, cancelled=True)], Version(99)))
     assert answered(out).body["status"] == "aborted"
 
 
 def test_nobody_has_submitted_it() -> None:
     requests, out = copied()
-    requests.poll(2, JobRef("job-nobody"))
-    only(out, Later).then()
-    only(out, Watch).then(News(Version(6), []))
+    requests.query(2, JobRef("job-nobody"))
+    only(out, Delay).continuation()
+    only(out, Watch).continuation(WatchResult(Version(6), []))
     read = only(out, Read)
     assert read.for_user
-    read.then(Found(None, Version(6)))
-    assert out.take() == [Answer(2, 404, None, None)]
+    read.continuation(Found(None, Version(6)))
+    assert out.take() == [Response(2, 404, None, None)]
--- a/tests/test_worker_client.py
+++ b/tests/test_worker_client.py
@@ -10,8 +10,8 @@
 
 from crosscleat.adapters import worker_client
 from crosscleat.adapters.worker_client import WorkerClient
-from crosscleat.core.model.ids import Session, Token
-from crosscleat.core.model.worker_calls import Direct
+from crosscleat.core.model.ids import AgentEpoch, Token
+from crosscleat.core.model.worker_calls import DirectCommand
 
 from .standins import serve
 
@@ -36,7 +36,7 @@
         app = web.Application()
         app.add_routes([web.post("/do", hang)])
         address = await serve(app)
-        call = Direct(address, Token(1), Session(1), (), lambda _report, _perhaps: None)
+        call = DirectCommand(address, Token(1), AgentEpoch(1), (), lambda _report, _perhaps: None)
         connector = aiohttp.TCPConnector(limit=1)
         async with aiohttp.ClientSession(connector=connector) as session:
             client = WorkerClient(session)
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -27,14 +27,16 @@
 
     def check_start(self, worker: Worker, task: TaskId, spec: JobSpec) -> None:
         self.world.started += 1
-        elsewhere = [
+        is_planned_elsewhere = [
             w.id
             for w in self.world.workers.values()
             if w is not worker
             and any(t == task and held.state != "exited" for (t, _), held in w.tasks.items())
         ]
-        if elsewhere:
-            raise RuleBrokenError(f"ran_twice: {task} starts on {worker.id}, is on {elsewhere}")
+        if is_planned_elsewhere:
+            raise RuleBrokenError(
+                f"ran_twice: {task} starts on {worker.id}, is on {is_planned_elsewhere}"
+            )
         told = self.world.cancel_told.get(task.job)
         if told is not None and self.world.clock.now > told + CANCEL_S:
             raise RuleBrokenError(f"ran_cancelled: {task} starts on {worker.id}")
--- a/tests/world/scenario.py
+++ b/tests/world/scenario.py
@@ -5,10 +5,17 @@
 from typing import Any
 
 from crosscleat.core.model.cloud import MachineType
-from crosscleat.core.model.deployment import Deployment, Knobs, Objective, TeamLimits
+from crosscleat.core.model.deployment import Deployment, Objective, TeamLimits, TuningOptions
 from crosscleat.core.model.ids import Image, JobRef, Member, Team, TypeName, Zone
 from crosscleat.core.model.job_spec import JobSpec, Priority
-from crosscleat.core.model.store_calls import Commit, Grant, Read, Revoke, Scan, Touch
+from crosscleat.core.model.store_calls import (
+    Commit,
+    GrantLease,
+    Read,
+    RenewLease,
+    RevokeLease,
+    Scan,
+)
 
 REPORT_S = 2.0
 LEASE_S = 10.0
@@ -20,7 +27,7 @@
 USER_WAITS_S = 2.0
 SUBMITTER_WAITS_S = 5.0
 PATIENCE_S: dict[type, float] = {
-    Commit: 2.0, Read: 1.5, Scan: 10.0, Grant: 2.0, Touch: 1.0, Revoke: 2.0,
+    Commit: 2.0, Read: 1.5, Scan: 10.0, GrantLease: 2.0, RenewLease: 1.0, RevokeLease: 2.0,
 }  # fmt: skip
 """How long an answer of the store is waited for."""
 REGION = "region"
@@ -66,12 +73,12 @@
         members=tuple(Member(m) for m in MEMBERS),
         teams=dict(TEAMS),
         objectives=(Objective("finished", "plain", 60.0),),
-        report_s=REPORT_S,
+        heartbeat_interval_s=REPORT_S,
         lease_s=LEASE_S,
         cancel_s=CANCEL_S,
         gang_wait_s=GANG_WAIT_S,
         gang_peer_s=GANG_PEER_S,
         value_kb=limits[0],
         txn_ops=limits[1],
-        knobs=Knobs(headroom=0.1, idle_return_s=8.0),
+        tuning=TuningOptions(headroom=0.1, idle_return_s=8.0),
     )
--- a/tests/world/users.py
+++ b/tests/world/users.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING
 
-from crosscleat.core.model.effects import Answer
+from crosscleat.core.model.effects import Response
 from crosscleat.core.model.ids import JobRef, TaskId
-from crosscleat.core.model.inputs import Abort, Poll, Refuse, Submit
+from crosscleat.core.model.inputs import CancelJob, QueryJob, RejectJob, SubmitJob
 from crosscleat.core.model.job_spec import JobSpec
 
 from .scenario import (
@@ -30,7 +30,7 @@
         self.world.specs[spec.ref] = spec
         sent = self.world.clock.now
 
-        def answered(answer: Answer) -> None:
+        def answered(answer: Response) -> None:
             if self.world.clock.now - sent > SUBMITTER_WAITS_S:
                 return
             if answer.status in (200, 201):
@@ -43,7 +43,7 @@
         member = self.world.rng.choice(MEMBERS)
         # Started tasks are checked against this: the store may accept before the user hears.
         self.accepted_when_stored(spec.ref)
-        self.world.ask(member, lambda n: Submit(n, spec), answered)
+        self.world.ask(member, lambda n: SubmitJob(n, spec), answered)
         if tries > 0:
             self.world.clock.after(
                 self.world.rng.uniform(1.0, 3.0), lambda: self.again(spec, tries)
@@ -59,12 +59,12 @@
         elif ref not in self.world.accepted:
             self.world.clock.after(0.01, lambda: self.accepted_when_stored(ref))
 
-    def poll(self, ref: str) -> None:
+    def query(self, ref: str) -> None:
         # As of now: a poll under way while the job is accepted may still find nothing.
         known = ref in self.world.accepted
         sent = self.world.clock.now
 
-        def answered(answer: Answer) -> None:
+        def answered(answer: Response) -> None:
             if self.world.clock.now - sent > USER_WAITS_S:
                 return
             if answer.status in (200, 404):
@@ -76,12 +76,12 @@
                     raise RuleBrokenError(f"invented: {ref}")
                 self.hear_status(ref, answer.body["status"], sent)
 
-        self.world.ask(self.world.rng.choice(MEMBERS), lambda n: Poll(n, JobRef(ref)), answered)
+        self.world.ask(self.world.rng.choice(MEMBERS), lambda n: QueryJob(n, JobRef(ref)), answered)
 
     def refused(self, spec: JobSpec | None, ref: str, status: int) -> None:
         """A submission that can't be accepted: it fits no machine, or lacks a field."""
 
-        def answered(answer: Answer) -> None:
+        def answered(answer: Response) -> None:
             if answer.status != 503 and answer.status != (
                 200 if ref in self.world.accepted else status
             ):
@@ -90,7 +90,7 @@
         number = JobRef(ref)
         self.world.ask(
             self.world.rng.choice(MEMBERS),
-            lambda n: Refuse(n, number, status) if spec is None else Submit(n, spec),
+            lambda n: RejectJob(n, number, status) if spec is None else SubmitJob(n, spec),
             answered,
         )
 
@@ -107,7 +107,7 @@
 
     def poll_for(self, ref: str, seconds: float) -> None:
         """As users do, every five seconds."""
-        self.poll(ref)
+        self.query(ref)
         if seconds > 5.0:
             self.world.clock.after(5.0, lambda: self.poll_for(ref, seconds - 5.0))
 
@@ -115,7 +115,7 @@
         self.world.cancel_asked.add(ref)
         sent = self.world.clock.now
 
-        def answered(answer: Answer) -> None:
+        def answered(answer: Response) -> None:
             if self.world.clock.now - sent > USER_WAITS_S:
                 return
             if answer.status == 200:
@@ -123,7 +123,7 @@
                 self.hear_final(ref, answer.body["status"])
 
         self.world.ask(
-            self.world.rng.choice(self.world.serving), lambda n: Abort(n, JobRef(ref)), answered
+            self.world.rng.choice(self.world.serving), lambda n: CancelJob(n, JobRef(ref)), answered
         )
         if tries > 0 and ref not in self.world.told_final:
             self.world.clock.after(1.0, lambda: self.cancel_again(ref, tries - 1))
--- a/tests/world/worker.py
+++ b/tests/world/worker.py
@@ -7,10 +7,16 @@
 from typing import TYPE_CHECKING
 
 from crosscleat.core.model.cloud import MachineType
-from crosscleat.core.model.heartbeats import Report, TaskReport
-from crosscleat.core.model.ids import Attempt, MachineId, Seen, Session, TaskId, Zone
+from crosscleat.core.model.heartbeats import Heartbeat, TaskStatus
+from crosscleat.core.model.ids import AgentEpoch, Attempt, HeartbeatId, MachineId, TaskId, Zone
 from crosscleat.core.model.job_spec import Shape
-from crosscleat.core.model.worker_calls import ClearOrder, Direct, Order, Orders, StartOrder
+from crosscleat.core.model.worker_calls import (
+    ClearOrder,
+    DirectCommand,
+    HeartbeatResponse,
+    Order,
+    StartOrder,
+)
 
 from .scenario import LEASE_S, MEMBERS, REPORT_S
 
@@ -55,7 +61,7 @@
             return
         self.up = True
         self.lease_from = self.world.clock.now
-        self.check_in()
+        self.receive_heartbeat()
         self.watch_lease()
 
     def watch_lease(self) -> None:
@@ -78,7 +84,7 @@
         self.lease_from = self.world.clock.now
         self.report_number += 1
         if self.up and not self.gone:
-            self.check_in()
+            self.receive_heartbeat()
 
     @property
     def hung(self) -> bool:
@@ -97,22 +103,22 @@
         else:
             act()
 
-    def report(self) -> Report:
+    def report(self) -> Heartbeat:
         self.tally += 1
         notice = self.notice_until
-        return Report(
+        return Heartbeat(
             MachineId(self.id), self.id, self.kind.name, Zone(self.zone), self.spot,
-            Seen(Session(self.session), self.tally), self.token,
+            HeartbeatId(AgentEpoch(self.session), self.tally), self.token,
             None if notice is None else max(0.0, notice - self.world.clock.now),
-            tuple(TaskReport(task, Attempt(attempt), t.state, t.cause)
+            tuple(TaskStatus(task, Attempt(attempt), t.state, t.cause)
                   for (task, attempt), t in self.tasks.items()),
         )  # fmt: skip
 
-    def check_in(self) -> None:
+    def receive_heartbeat(self) -> None:
         if self.gone:
             return
         if self.hung:
-            self.when_awake(self.check_in)
+            self.when_awake(self.receive_heartbeat)
             return
         self.report_number += 1
         number = self.report_number
@@ -120,20 +126,22 @@
         report = self.report()
         member = self.world.members[self.node % len(MEMBERS)]
 
-        def answered(answer: Orders | None) -> None:
+        def answered(answer: HeartbeatResponse | None) -> None:
             self.when_awake(lambda: self.take(number, session, sent, answer))
 
         self.world.deliver_check_in(self.id, member, report, answered)
         self.world.clock.after(4.0, lambda: self.take(number, session, sent, None))
 
-    def take(self, number: int, session: int, sent: float, answer: Orders | None) -> None:
+    def take(
+        self, number: int, session: int, sent: float, answer: HeartbeatResponse | None
+    ) -> None:
         if self.gone or number != self.report_number:
             return
         now = self.world.clock.now
         self.report_number += 1
         if answer is None or now - sent >= 4.0:
             self.node += 1
-            self.world.clock.after(1.0, self.check_in)
+            self.world.clock.after(1.0, self.receive_heartbeat)
             return
         rng = self.world.rng
         pause = REPORT_S * rng.uniform(0.75, 1.25)
@@ -143,10 +151,10 @@
             self.token = answer.token
             self.lease_from = max(self.lease_from, sent)
             self.execute(answer.orders)
-        self.world.clock.after(pause, self.check_in)
+        self.world.clock.after(pause, self.receive_heartbeat)
 
-    def direct(self, call: Direct) -> Report:
-        if call.token >= self.token and call.session == self.session:
+    def direct(self, call: DirectCommand) -> Heartbeat:
+        if call.token >= self.token and call.agent_epoch == self.session:
             self.token = call.token
             self.execute(call.orders)
         return self.report()
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -15,34 +15,42 @@
 
 from crosscleat.core.control.controller import Controller
 from crosscleat.core.model.cloud_calls import DeleteMachines, ListMachines, ListTypes, Rent
-from crosscleat.core.model.effects import Answer, Effect, Later, Note, Part, Propose, Tell
-from crosscleat.core.model.heartbeats import Report
+from crosscleat.core.model.effects import (
+    BroadcastProgress,
+    Delay,
+    Effect,
+    LogRecord,
+    ProposeShard,
+    Response,
+    ShardRequest,
+)
+from crosscleat.core.model.heartbeats import Heartbeat
 from crosscleat.core.model.ids import LeaseId, Member, Seconds, TaskId, Team, Version, WallTime
 from crosscleat.core.model.inputs import (
-    Began,
-    CheckIn,
-    Completed,
-    PartGiven,
-    PeerGone,
-    Probed,
-    Progress,
-    Proposed,
+    CallCompleted,
+    HeartbeatReceived,
+    PeerUnreachable,
+    ProbeReply,
+    ProgressReceived,
+    ShardProposed,
+    ShardRequested,
+    Started,
     Tick,
 )
 from crosscleat.core.model.job_spec import JobSpec
 from crosscleat.core.model.store_calls import (
     Commit,
     Found,
-    Grant,
+    GrantLease,
     Listing,
-    News,
     Read,
-    Revoke,
+    RenewLease,
+    RevokeLease,
     Scan,
-    Touch,
     Watch,
+    WatchResult,
 )
-from crosscleat.core.model.worker_calls import Direct, Orders, Probe
+from crosscleat.core.model.worker_calls import DirectCommand, HeartbeatResponse, IndirectProbe
 
 from .clock import Clock
 from .cloud import Cloud
@@ -155,7 +163,7 @@
         process = Process(Controller(deployment(member, limits), str(rng.random()), rng))
         process.drift = self.rng.choice((0.9995, 1.0, 1.0005))
         self.processes[member] = process
-        self.feed(member, process, Began())
+        self.feed(member, process, Started())
         self.tick(member, process)
 
     def crash(self, member: str, back_s: float) -> None:
@@ -190,7 +198,7 @@
     def notice(self, member: str, gone: str) -> None:
         process = self.processes[member]
         if process is not None:
-            self.feed(member, process, PeerGone(Member(gone)))
+            self.feed(member, process, PeerUnreachable(Member(gone)))
 
     def tick(self, member: str, process: Process) -> None:
         if process.alive:
@@ -234,70 +242,74 @@
         if process is not None:
             process.free_at = max(process.free_at, self.clock.now + seconds)
 
-    def ask(self, member: str, make: Callable[[int], Any], then: Callable[[Any], None]) -> None:
+    def ask(
+        self, member: str, make: Callable[[int], Any], continuation: Callable[[Any], None]
+    ) -> None:
         """A request that reached a controller; without an answer, `then` is not called."""
         process = self.processes[member]
         if process is None:
             return
         number = next(self._numbers)
-        process.requests[number] = then
+        process.requests[number] = continuation
         self.feed(member, process, make(number))
 
     def carry_out(self, member: str, process: Process, effect: Effect) -> None:  # noqa: C901 - one case a message
         def back(*results: Any) -> None:
             call: Any = effect
-            self.feed(member, process, Completed(call.then, results))
+            self.feed(member, process, CallCompleted(call.continuation, results))
 
         match effect:
-            case Answer() | Orders():
-                then = process.requests.pop(effect.request, None)
-                if then is not None:
-                    then(effect)
-            case Later():
+            case Response() | HeartbeatResponse():
+                continuation = process.requests.pop(effect.request, None)
+                if continuation is not None:
+                    continuation(effect)
+            case Delay():
                 self.clock.after(effect.delay_s, lambda: back())
-            case Tell():
-                counts = Progress(effect.message)
+            case BroadcastProgress():
+                counts = ProgressReceived(effect.message)
                 for other in MEMBERS:
                     if other != member and self.network.whole(member, other):
                         self.clock.after(0.01, partial(self.hear, other, counts))
-            case Note():
+            case LogRecord():
                 pass
-            case Probe():
+            case IndirectProbe():
                 for other in MEMBERS:
                     if other != member:
                         self.network.send(member, other, partial(self.probe, member, other, effect))
-            case Part():
+            case ShardRequest():
                 other = effect.member
                 self.network.send(
-                    member, other, lambda: self.hear(other, PartGiven(Member(member), effect.view))
+                    member,
+                    other,
+                    lambda: self.hear(other, ShardRequested(Member(member), effect.view)),
                 )
-            case Propose():
+            case ProposeShard():
                 other = effect.member
-                told = Proposed(Member(member), effect.proposal)
+                told = ShardProposed(Member(member), effect.proposal)
 
                 def propose() -> None:
                     self.network.send(member, other, lambda: self.hear(other, told))
 
                 # An owner may be slow, and its proposal outdated when it comes.
                 self.clock.after(self.rng.choice((0.0, 0.0, 0.0, 0.3, 5.2)), propose)
-            case Revoke():
+            case RevokeLease():
                 self.state(member, effect, lambda *_: None)
-            case Direct():
+            case DirectCommand():
                 self.direct(member, effect, back)
             case Rent() | DeleteMachines() | ListMachines() | ListTypes():
                 self.clouds.cloud(member, effect, back)
             case _:
                 self.state(member, effect, back)
 
-    def probe(self, member: str, other: str, asked: Probe) -> None:
+    def probe(self, member: str, other: str, asked: IndirectProbe) -> None:
         if self.processes[other] is None:
             return
 
-        def found(report: Report | None, _perhaps: bool) -> None:
+        def found(report: Heartbeat | None, _perhaps: bool) -> None:
             if report is not None:
-                self.network.send(other, member, lambda: self.hear(member, Probed(report)))
+                self.network.send(other, member, lambda: self.hear(member, ProbeReply(report)))
 
-        call = Direct(asked.address, asked.token, asked.session, (), void)
+        call = DirectCommand(asked.address, asked.token, asked.agent_epoch, (), void)
         self.direct(other, call, found)
 
     def hear(self, member: str, told: Any) -> None:
@@ -369,12 +381,12 @@
                 return Found(self.store.item(effect.key), Version(self.store.revision))
             case Scan():
                 return self.store.listing(effect.prefix)
-            case Grant():
+            case GrantLease():
                 return LeaseId(self.store.grant(effect.life_s))
-            case Touch():
+            case RenewLease():
                 self.store.expire()
                 return self.store.touch(effect.lease)
-            case Revoke():
+            case RevokeLease():
                 return self.store.revoke(effect.lease)
         raise TypeError(effect)
 
@@ -385,7 +397,7 @@
         elif not self.store.serves(member) and left <= 0.0:
             back(None)
         elif news or left <= 0.0:
-            back(News(Version(self.store.revision), news))
+            back(WatchResult(Version(self.store.revision), news))
         else:
             pause = min(0.05, max(0.01, left))
             self.clock.after(pause, lambda: self.watch(member, effect, back, left - pause))
@@ -393,10 +405,10 @@
     # Workers
 
     def deliver_check_in(
-        self, worker: str, member: str, report: Report, answered: Callable[[Any], None]
+        self, worker: str, member: str, report: Heartbeat, answered: Callable[[Any], None]
     ) -> None:
         def answer(result: Any) -> None:
-            orders = result if isinstance(result, Orders) else None
+            orders = result if isinstance(result, HeartbeatResponse) else None
             self.network.send(member, worker, lambda: answered(orders))
 
         if worker in self.mute:
@@ -410,20 +422,20 @@
         if not self.network.send(worker, member, lambda: self.hear_report(member, report, answer)):
             self.clock.after(0.01, lambda: answered(None))
 
-    def hear_report(self, member: str, report: Report, answer: Callable[[Any], None]) -> None:
+    def hear_report(self, member: str, report: Heartbeat, answer: Callable[[Any], None]) -> None:
         process = self.processes[member]
         if process is None:
             return
         leader = process.controller.election.leader
         if process.controller.leader is not None:
-            self.ask(member, lambda n: CheckIn(n, report), answer)
+            self.ask(member, lambda n: HeartbeatReceived(n, report), answer)
         elif leader is None or leader == member:
             answer(None)
         else:
             self.relay(member, leader, report, answer)
 
     def relay(
-        self, member: str, leader: str, report: Report, answer: Callable[[Any], None]
+        self, member: str, leader: str, report: Heartbeat, answer: Callable[[Any], None]
     ) -> None:
         sent = self.clock.now
 
@@ -436,15 +448,15 @@
             leader,
             lambda: self.ask(
                 leader,
-                lambda n: CheckIn(n, report, relayed=True),
+                lambda n: HeartbeatReceived(n, report, relayed=True),
                 lambda result: void(self.network.send(leader, member, lambda: returned(result))),
             ),
         )
 
-    def direct(self, member: str, call: Direct, back: Callable[..., None]) -> None:
+    def direct(self, member: str, call: DirectCommand, back: Callable[..., None]) -> None:
         state = {"open": True}
 
-        def close(report: Report | None, perhaps: bool) -> None:
+        def close(report: Heartbeat | None, perhaps: bool) -> None:
             if state["open"]:
                 state["open"] = False
                 back(report, perhaps)
@@ -464,7 +476,9 @@
             self.clock.after(0.01, lambda: close(None, False))
         self.clock.after(2.0, lambda: close(None, True))
 
-    def execute_direct(self, member: str, call: Direct, answer: Callable[[Report], None]) -> None:
+    def execute_direct(
+        self, member: str, call: DirectCommand, answer: Callable[[Heartbeat], None]
+    ) -> None:
         """The worker does what it is told, now or when it wakes; its answer may be lost."""
         worker = self.workers.get(call.address)
         if worker is None or worker.gone or not worker.up:
@@ -516,7 +530,7 @@
                 self.users.cancel(ref)
         self.clock.advance(150.0)
         for ref in sorted(self.accepted):
-            self.users.poll(ref)
+            self.users.query(ref)
         self.clock.advance(2.0)
         for ref in sorted(self.accepted):
             if self.specs[ref].job_class != "broken":
