--- /dev/null
+++ b/tests/test_known_red.py
@@ -0,0 +1,153 @@
+"""What a list of known failures does to a run, shown by runs of small modules."""
+
+from __future__ import annotations
+
+import pytest
+
+CONFTEST = "from tests.known_red import register as pytest_configure"
+MODULE = """
+import pytest
+
+def test_good(): pass
+
+@pytest.mark.parametrize("number", [1, 2])
+def test_bad(number): assert number == 1
+
+@pytest.fixture
+def broken(): raise ValueError("broken")
+
+def test_without_fixture(broken): pass
+
+@pytest.mark.skip(reason="not here")
+def test_skipped(): pass
+"""
+BAD = "test_some.py::test_bad[2]"
+BROKEN = "test_some.py::test_without_fixture"
+GOOD = "test_some.py::test_good"
+BOTH = f"{BAD} | off by one | #12\n{BROKEN} | no fixture | #13\n"
+
+
+def run(
+    pytester: pytest.Pytester, known: str | None, *arguments: str, module: str = MODULE
+) -> pytest.RunResult:
+    """A run of the module, with this list."""
+    pytester.makeini("[pytest]\naddopts = -q")
+    pytester.makeconftest(CONFTEST)
+    pytester.makepyfile(test_some=module)
+    if known is not None:
+        (pytester.path / "KNOWN-RED.txt").write_text(known)
+    return pytester.runpytest(*arguments)
+
+
+@pytest.mark.parametrize("known", [None, "", "# nothing\n\n"])
+def test_an_empty_list_changes_nothing(pytester: pytest.Pytester, known: str | None) -> None:
+    result = run(pytester, known)
+    assert result.ret == pytest.ExitCode.TESTS_FAILED
+    result.assert_outcomes(passed=2, failed=1, errors=1, skipped=1)
+    result.stdout.no_fnmatch_line("*KNOWN-RED*")
+
+
+def test_listed_failures_are_passed_over_and_printed(pytester: pytest.Pytester) -> None:
+    result = run(pytester, f"# two\n{BOTH}")
+    assert result.ret == pytest.ExitCode.OK
+    result.assert_outcomes(passed=2, xfailed=2, skipped=1)
+    result.stdout.fnmatch_lines(
+        [
+            "*known failures (KNOWN-RED.txt)*",
+            "test_some.py::test_bad[[]2]: failed, passed over: off by one (#12)",
+            "test_some.py::test_without_fixture: failed, passed over: no fixture (#13)",
+        ]
+    )
+
+
+def test_a_failure_that_is_not_listed_fails_the_run(pytester: pytest.Pytester) -> None:
+    result = run(pytester, f"{BAD} | off by one | #12\n")
+    assert result.ret == pytest.ExitCode.TESTS_FAILED
+    result.assert_outcomes(passed=2, xfailed=1, errors=1, skipped=1)
+
+
+@pytest.mark.parametrize("arguments", [(), ("test_some.py",), ("-k", "good or bad")])
+def test_a_listed_test_that_passes_fails_the_run(
+    pytester: pytest.Pytester, arguments: tuple[str, ...]
+) -> None:
+    result = run(pytester, f"{BOTH}{GOOD} | slow | #14\n", *arguments)
+    assert result.ret == pytest.ExitCode.TESTS_FAILED
+    assert result.parseoutcomes()["failed"] == 1
+    result.stdout.fnmatch_lines(
+        [
+            "[[]XPASS(strict)] listed in KNOWN-RED.txt: slow (#14)",
+            "test_some.py::test_good: error, see its report: slow (#14)",
+        ]
+    )
+
+
+def test_a_mark_of_the_test_itself_does_not_soften_the_list(pytester: pytest.Pytester) -> None:
+    module = "import pytest\n@pytest.mark.xfail(strict=False)\ndef test_good(): pass\n"
+    result = run(pytester, f"{GOOD} | slow | #14\n", module=module)
+    assert result.ret == pytest.ExitCode.TESTS_FAILED
+    result.stdout.fnmatch_lines(["[[]XPASS(strict)] listed in KNOWN-RED.txt: slow (#14)"])
+
+
+def test_more_than_three_are_refused(pytester: pytest.Pytester) -> None:
+    known = "".join(f"test_some.py::test_bad[{n}] | cause | #{n}\n" for n in range(4))
+    result = run(pytester, known)
+    assert result.ret == pytest.ExitCode.USAGE_ERROR
+    result.stderr.fnmatch_lines(["*KNOWN-RED.txt: 4 tests are listed, at most 3 may be"])
+
+
+@pytest.mark.parametrize(
+    "line",
+    [
+        BAD,
+        f"{BAD} | off by one",
+        f"{BAD} | off by one | #12 | more",
+        f"{BAD} |  | #12",
+        f"{BAD} | off by one |",
+        " | off by one | #12",
+        f" # {BAD}",
+    ],
+)
+def test_a_malformed_line_is_refused(pytester: pytest.Pytester, line: str) -> None:
+    result = run(pytester, f"# one\n{line}\n", "test_some.py")
+    assert result.ret == pytest.ExitCode.USAGE_ERROR
+    result.stderr.fnmatch_lines(["*KNOWN-RED.txt:2: not `test id | cause | issue`: *"])
+
+
+def test_a_test_that_is_listed_twice_is_refused(pytester: pytest.Pytester) -> None:
+    result = run(pytester, f"{BAD} | off by one | #12\n{BAD} | another | #13\n")
+    assert result.ret == pytest.ExitCode.USAGE_ERROR
+    result.stderr.fnmatch_lines([r"*KNOWN-RED.txt:2: listed before: test_some.py::test_bad[[]2]"])
+
+
+MISSING = f"{BOTH}test_some.py::test_gone | lost | #15\n"
+
+
+def test_a_listed_test_that_does_not_exist_fails_a_whole_run(pytester: pytest.Pytester) -> None:
+    result = run(pytester, MISSING)
+    assert result.ret == pytest.ExitCode.USAGE_ERROR
+    result.stderr.fnmatch_lines(["*KNOWN-RED.txt: there is no test test_some.py::test_gone"])
+
+
+@pytest.mark.parametrize("arguments", [("test_some.py",), ("-k", "bad"), ("--deselect", GOOD)])
+def test_a_listed_test_may_be_left_out_of_a_part(
+    pytester: pytest.Pytester, arguments: tuple[str, ...]
+) -> None:
+    result = run(pytester, MISSING, *arguments)
+    assert result.ret == pytest.ExitCode.OK
+    result.stdout.fnmatch_lines(
+        [
+            "test_some.py::test_bad[[]2]: failed, passed over: off by one (#12)",
+            "test_some.py::test_gone: not run: lost (#15)",
+        ]
+    )
+
+
+def test_a_module_that_cannot_be_read_is_reported(pytester: pytest.Pytester) -> None:
+    result = run(pytester, MISSING, module="import nothing_of_this_name\n")
+    assert result.ret == pytest.ExitCode.INTERRUPTED
+    result.stdout.fnmatch_lines(["ERROR test_some.py"])
+
+
+def test_a_listed_test_that_is_skipped_is_printed_as_such(pytester: pytest.Pytester) -> None:
+    result = run(pytester, "test_some.py::test_skipped | cause | #16\n", "-k", "skipped")
+    result.stdout.fnmatch_lines(["test_some.py::test_skipped: skipped: cause (#16)"])
