--- a/src/crosscleat/adapters/cloud_client.py
+++ b/src/crosscleat/adapters/cloud_client.py
@@ -9,7 +9,14 @@
 import msgspec
 
 from ..core.model.cloud import ListedMachine, MachineType
-from ..core.model.cloud_calls import DeleteMachines, Rent
+from ..core.model.cloud_calls import (
+    DeleteMachines,
+    Rent,
+    RentalOutcome,
+    RentalRefused,
+    RentalUnanswered,
+    Rented,
+)
 from ..wire import cloud as wire
 
 TIMEOUT_S = 5.0
@@ -64,25 +71,25 @@
                 return found
             after = page.boxes[-1].ref
 
-    async def rent(self, call: Rent) -> list[str] | bool | None:
-        """Names of the rented machines; False: no capacity; None: unknown."""
+    async def rent(self, call: Rent) -> RentalOutcome:
+        """Rent machines; unanswered if the request failed, timed out or met an unknown status."""
         response = await self._call("POST", "/rentals", wire.rent(call))
         if response is None:
-            return None
+            return RentalUnanswered()
         status, body = response
         if status == 200:
             try:
-                return wire.hired.decode(body).boxes
+                return Rented(wire.hired.decode(body).boxes)
             except msgspec.DecodeError as error:
                 log.error("unreadable rental: %s", error)
-                return None
+                return RentalUnanswered()
         if status == 503 and b"no capacity" in body:
-            return False
+            return RentalRefused()
         if status == 400:
             log.error("rental refused as malformed: %s", call)
-            return False
+            return RentalRefused()
         await asyncio.sleep(0.5)
-        return None
+        return RentalUnanswered()
 
     async def delete(self, call: DeleteMachines) -> bool:
         """Whether the cloud confirmed that the machines are gone."""
--- a/src/crosscleat/core/capacity/scaling.py
+++ b/src/crosscleat/core/capacity/scaling.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 
 from ..election.term import LeadingTerm
-from ..model.cloud_calls import Rent
+from ..model.cloud_calls import Rent, RentalOutcome, RentalUnanswered, Rented
 from ..model.ids import JobRef, MachineId, Seconds
 from ..scheduling.scoring import Scorer
 from ..state.cluster import ClusterState
@@ -160,29 +160,29 @@
                 pool.zone,
                 pool.spot,
                 wanted.count,
-                lambda result: self._answered(name, wanted, tries, result),
+                lambda outcome: self._answered(name, wanted, tries, outcome),
             )
         )
 
     def _answered(
-        self, name: str, wanted: ScaleOutRequest, tries: int, result: list[str] | bool | None
+        self, name: str, wanted: ScaleOutRequest, tries: int, outcome: RentalOutcome
     ) -> None:
         if self._term.retired:
             return
-        if result is None and tries < MAX_TRIES:
+        if isinstance(outcome, RentalUnanswered) and tries < MAX_TRIES:
             self._request(name, wanted, tries + 1)
             return
         now = self._term.now
         pool = self._fleet.pool(wanted.pool)
         self._under_way = False
-        if not isinstance(result, list):
+        if not isinstance(outcome, Rented):
             pool.refuse(now)
             return
-        for machine in result:
+        for machine in outcome.machines:
             self._enter_rented(wanted.pool, MachineId(machine))
         key = wanted.pool
-        self._term.outbox.log("info", f"rented {len(result)} of {key.type} in {key.zone}")
-        if len(result) < wanted.count:
+        self._term.outbox.log("info", f"rented {len(outcome.machines)} of {key.type} in {key.zone}")
+        if len(outcome.machines) < wanted.count:
             pool.refuse(now)
         else:
             pool.granted()
--- a/src/crosscleat/core/model/cloud_calls.py
+++ b/src/crosscleat/core/model/cloud_calls.py
@@ -20,6 +20,23 @@
     continuation: Callable[[Any], None]
 
 
+class Rented(msgspec.Struct, frozen=True):
+    """The cloud rented machines, perhaps fewer than it was asked for."""
+
+    machines: list[str]
+
+
+class RentalRefused(msgspec.Struct, frozen=True):
+    """The cloud rented nothing: the pool has no capacity, or the request was malformed."""
+
+
+class RentalUnanswered(msgspec.Struct, frozen=True):
+    """No readable answer: whether machines were rented is unknown, and the call may be repeated."""
+
+
+RentalOutcome = Rented | RentalRefused | RentalUnanswered
+
+
 class Rent(msgspec.Struct, frozen=True):
     """Rent machines; a repeat under the same name rents nothing more."""
 
@@ -28,8 +45,7 @@
     zone: str
     spot: bool
     count: int
-    continuation: Callable[[list[str] | bool | None], None]
-    """Names of the machines; False: refused for lack of capacity; None: unknown."""
+    continuation: Callable[[RentalOutcome], None]
 
 
 class DeleteMachines(msgspec.Struct, frozen=True):
--- a/tests/world/cloud.py
+++ b/tests/world/cloud.py
@@ -6,7 +6,16 @@
 from typing import TYPE_CHECKING, Any
 
 from crosscleat.core.model.cloud import ListedMachine
-from crosscleat.core.model.cloud_calls import DeleteMachines, ListMachines, ListTypes, Rent
+from crosscleat.core.model.cloud_calls import (
+    DeleteMachines,
+    ListMachines,
+    ListTypes,
+    Rent,
+    RentalOutcome,
+    RentalRefused,
+    RentalUnanswered,
+    Rented,
+)
 from crosscleat.core.model.ids import MachineId, Zone
 
 from .scenario import (
@@ -19,6 +28,10 @@
     from .world import World
 
 
+NOT_ANSWERED: dict[type, Any] = {DeleteMachines: False, Rent: RentalUnanswered()}
+"""What a call results in that the cloud does not answer; None for the others."""
+
+
 class Cloud:
     """The cloud: rents machines late, refuses some, lists them late."""
 
@@ -27,9 +40,8 @@
 
     def cloud(self, member: str, effect: Any, back: Callable[..., None]) -> None:
         if self.world.cloud_down or not self.world.network.whole(member, REGION):
-            self.world.clock.after(
-                2.0, lambda: back(False if isinstance(effect, DeleteMachines) else None)
-            )
+            unanswered = NOT_ANSWERED.get(type(effect))
+            self.world.clock.after(2.0, lambda: back(unanswered))
             return
         if isinstance(effect, ListTypes):
             self.world.clock.after(0.1, lambda: back(list(TYPES)))
@@ -49,23 +61,23 @@
             self.delete(effect, back)
 
     def rent(self, effect: Rent, back: Callable[..., None]) -> None:
-        def serve() -> list[str] | bool:
+        def serve() -> RentalOutcome:
             if effect.name in self.world.hires:
-                return self.world.hires[effect.name]
+                return Rented(self.world.hires[effect.name])
             same = [w for w in self.world.workers.values()
                     if not w.gone and (w.kind.name, w.zone, w.spot)
                     == (effect.type, effect.zone, effect.spot)]  # fmt: skip
             count = min(effect.count, 2 - len(same))
             if count <= 0:
-                return False
+                return RentalRefused()
             names = [self.add_machine(effect.type, effect.zone, effect.spot) for _ in range(count)]
             self.world.hires[effect.name] = names
-            return names
+            return Rented(names)
 
         if self.world.rng.random() < self.world.flaky:
             # Executed late, after we gave it up.
             self.world.clock.after(self.world.rng.choice((0.1, 20.0)), lambda: serve())
-            self.world.clock.after(1.0, lambda: back(None))
+            self.world.clock.after(1.0, lambda: back(RentalUnanswered()))
         else:
             self.world.clock.after(0.2, lambda: back(serve()))
 
