--- a/src/crosscleat/core/control/controller.py
+++ b/src/crosscleat/core/control/controller.py
@@ -1,11 +1,14 @@
-"""The controller: one state machine.
+"""The controller: one state machine without input or output of its own.
 
-`step` takes an input and returns what to send, write and answer.
+`Controller.step` takes an input and returns the effects that are to be carried out. Users' requests
+are answered by every controller; the `Leader` exists only while this one holds the leader key.
 """
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from random import Random
+from typing import Any
 
 from ..election.election import Election
 from ..election.upgrade import Upgrade
@@ -13,7 +16,7 @@
 from ..model.cloud_calls import ListTypes
 from ..model.deployment import Deployment
 from ..model.effects import BroadcastProgress, Delay, Effect, Outbox, ProposeShard, Response
-from ..model.ids import LONG_AGO, Member, Seconds, Token, TypeName, Version, WallTime
+from ..model.ids import LONG_AGO, Member, Seconds, Token, TypeName, WallTime
 from ..model.inputs import (
     CallCompleted,
     CancelJob,
@@ -30,18 +33,20 @@
     SubmitJob,
     Tick,
 )
-from ..model.store_calls import Item, Listing, Scan, Watch, WatchResult
 from ..scheduling.sharding import plan
-from ..state.keys import DECOMMISSIONED, FORMAT, LIVE, PLACEMENTS
 from ..state.placement_records import chunk_length_for
+from .job_watch import JobWatch, StoredState, TakeoverRead
 from .leader import Leader
 from .user_requests import UserRequests
 
 PROGRESS_S = 1.0
+"""How often the leader sends the other controllers the counts of tasks that have changed."""
 
-TYPES_S = 60.0
+LIST_TYPES_S = 60.0
+"""How often the machine types are read: their prices change."""
 
-WATCH_S = 1.0
+LIST_TYPES_RETRY_S = 0.5
+"""Before they are asked for again if there was no answer."""
 
 
 class Controller:
@@ -54,8 +59,8 @@
         self._now = LONG_AGO
         self._wall = WallTime(0.0)
         self._types: dict[TypeName, MachineType] = {}
-        self._types_asked = False
-        self._types_at = LONG_AGO
+        self._types_requested = False
+        self._list_types_at = LONG_AGO
         self._progress_at = LONG_AGO
         self.upgrade = Upgrade(
             deployment.member, deployment.members, self._outbox, self._all_upgraded
@@ -74,63 +79,100 @@
             self._elected,
             self._lost,
         )
+        self._handlers = self._handler_table()
 
     @property
     def knows_types(self) -> bool:
         """Without the machine types no submission can be decided."""
         return bool(self._types)
 
-    def step(self, given: Input, now: Seconds, wall: WallTime) -> list[Effect]:  # noqa: C901 - one case a message
-        """Take an input; returns what is to be done outside."""
+    def step(self, received: Input, now: Seconds, wall: WallTime) -> list[Effect]:
+        """Take an input; returns what is to be done outside, in order.
+
+        `now` is on the steady clock, `wall` on the one that is shown to users and stored.
+        """
         self._now, self._wall = now, wall
         if self.leader is not None:
-            self.leader.term.now = now
-        match given:
-            case CallCompleted(continuation, results):
-                continuation(*results)
-            case HeartbeatReceived(request, heartbeat, relayed):
-                if self.leader is not None:
-                    self.leader.receive_heartbeat(request, heartbeat, now, relayed)
-                else:
-                    self._outbox.add(Response(request, 503, retry_after_s=1))
-            case ProbeReply(heartbeat):
-                if self.leader is not None:
-                    self.leader.receive_direct_reply(heartbeat)
-            case QueryJob(request, ref):
-                self.users.query(request, ref)
-            case SubmitJob(request, spec):
-                self.users.submit(request, spec, wall)
-            case RejectJob(request, ref, status):
-                self.users.refuse(request, ref, status)
-            case CancelJob(request, ref):
-                self.users.cancel(request, ref)
-            case ProgressReceived(counts):
-                self.users.progress.update(counts)
-            case ShardRequested(member, view):
-                proposal = plan(view, self.deployment, self._types, self._rng, now)
-                self._outbox.add(ProposeShard(member, proposal))
-            case ShardProposed(member, proposal):
-                if self.leader is not None:
-                    self.leader.scheduler.proposed(member, proposal, now)
-            case PeerUnreachable(member):
-                self.election.revoke_leader_lease(member)
-            case Tick():
-                self._tick()
-            case Started():
-                self.election.begin()
-                self.upgrade.begin()
-                self._ask_types()
+            self.leader.term.advance(now)
+        self._handlers[type(received)](received)
         if self.leader is not None:
             self.leader.finish_step(now)
         return self._outbox.take()
 
-    def _tick(self) -> None:
+    def _handler_table(self) -> dict[type[Any], Callable[[Any], None]]:
+        """Who handles which input. A dictionary is faster for heartbeats than tests in turn."""
+        return {
+            CallCompleted: self._call_completed,
+            HeartbeatReceived: self._heartbeat_received,
+            ProbeReply: self._probe_reply,
+            QueryJob: self._query_job,
+            SubmitJob: self._submit_job,
+            RejectJob: self._reject_job,
+            CancelJob: self._cancel_job,
+            ProgressReceived: self._progress_received,
+            ShardRequested: self._shard_requested,
+            ShardProposed: self._shard_proposed,
+            PeerUnreachable: self._peer_unreachable,
+            Tick: self._tick,
+            Started: self._started,
+        }
+
+    # Inputs
+
+    def _call_completed(self, call: CallCompleted) -> None:
+        call.continuation(*call.results)
+
+    def _heartbeat_received(self, received: HeartbeatReceived) -> None:
+        if self.leader is None:
+            self._outbox.add(Response(received.request, 503, retry_after_s=1))
+            return
+        self.leader.receive_heartbeat(
+            received.request, received.heartbeat, self._now, received.relayed
+        )
+
+    def _probe_reply(self, reply: ProbeReply) -> None:
+        if self.leader is not None:
+            self.leader.receive_direct_reply(reply.heartbeat)
+
+    def _query_job(self, query: QueryJob) -> None:
+        self.users.query(query.request, query.ref)
+
+    def _submit_job(self, submission: SubmitJob) -> None:
+        self.users.submit(submission.request, submission.spec, self._wall)
+
+    def _reject_job(self, rejection: RejectJob) -> None:
+        self.users.refuse(rejection.request, rejection.ref, rejection.status)
+
+    def _cancel_job(self, cancellation: CancelJob) -> None:
+        self.users.cancel(cancellation.request, cancellation.ref)
+
+    def _progress_received(self, received: ProgressReceived) -> None:
+        self.users.progress.update(received.counts)
+
+    def _shard_requested(self, request: ShardRequested) -> None:
+        proposal = plan(request.view, self.deployment, self._types, self._rng, self._now)
+        self._outbox.add(ProposeShard(request.member, proposal))
+
+    def _shard_proposed(self, proposed: ShardProposed) -> None:
+        if self.leader is not None:
+            self.leader.scheduler.proposed(proposed.member, proposed.proposal, self._now)
+
+    def _peer_unreachable(self, peer: PeerUnreachable) -> None:
+        self.election.revoke_leader_lease(peer.member)
+
+    def _started(self, _: Started) -> None:
+        self.election.begin()
+        self.upgrade.begin()
+        self._list_types()
+
+    def _tick(self, _: Tick) -> None:
         now = self._now
-        if not self._types_asked and now >= self._types_at:
-            self._ask_types()
+        if not self._types_requested and now >= self._list_types_at:
+            self._list_types()
         if self.leader is None:
             return
         self.leader.tick(now)
+        # The tick may have ended the term.
         if self.leader is not None and now >= self._progress_at:
             self._progress_at = Seconds(now + PROGRESS_S)
             counts = self.leader.progress()
@@ -138,25 +180,30 @@
                 self.users.progress.update(counts)
                 self._outbox.add(BroadcastProgress(counts))
 
-    def _ask_types(self) -> None:
-        self._types_asked = True
+    # Machine types
 
-        def listed(kinds: list[MachineType] | None) -> None:
-            self._types_asked = False
-            self._types_at = Seconds(self._now + (TYPES_S if kinds else 0.5))
-            if kinds:
-                # Prices move: machines that are up refer to their type's object, so renew those.
-                self._types.update({kind.name: kind for kind in kinds})
-                if self.leader is not None:
-                    self.leader.machines.types_changed()
+    def _list_types(self) -> None:
+        self._types_requested = True
+        self._outbox.add(ListTypes(self._types_listed))
 
-        self._outbox.add(ListTypes(listed))
+    def _types_listed(self, machine_types: list[MachineType] | None) -> None:
+        self._types_requested = False
+        pause_s = LIST_TYPES_S if machine_types else LIST_TYPES_RETRY_S
+        self._list_types_at = Seconds(self._now + pause_s)
+        if machine_types:
+            # The dictionary is shared with the leader and with users' requests.
+            self._types.update({machine_type.name: machine_type for machine_type in machine_types})
+            if self.leader is not None:
+                self.leader.machines.types_changed()
 
     # Terms
 
     def _all_upgraded(self) -> None:
-        """No older version reads what we write any more; a term that began before goes on in the
-        older form, so another one begins, where that makes a difference."""
+        """No controller of an older version is left, so records may take the newer form.
+
+        A term keeps the form that it began with, so another one begins where that makes a
+        difference.
+        """
         self._outbox.log("info", "all controllers have changed to this version")
         leader = self.leader
         if leader is not None and leader.placement_records.chunk_length != chunk_length_for(
@@ -166,33 +213,16 @@
 
     def _elected(self, token: Token) -> None:
         self._outbox.log("info", f"elected, token {token}")
-        self._scan(token, (LIVE, PLACEMENTS, DECOMMISSIONED, FORMAT), [], self._now)
-
-    def _scan(
-        self, token: Token, prefixes: tuple[str, ...], found: list[Listing], asked: Seconds
-    ) -> None:
-        """Read what the new term starts from; ended jobs are not read.
-
-        `asked` is when the live jobs were: a cancellation since then is not known yet.
-        """
+        TakeoverRead(
+            self._outbox,
+            lambda: self._now,
+            lambda: self.election.token == token,
+            self._lead,
+        ).begin()
 
-        def scanned(listing: Listing | None) -> None:
-            if self.election.token != token:
-                return
-            if listing is None:
-                self._scan(token, prefixes, found, asked if found else self._now)
-                return
-            found.append(listing)
-            if prefixes[1:]:
-                self._scan(token, prefixes[1:], found, asked)
-            else:
-                self._lead(token, found, asked)
-
-        self._outbox.add(Scan(prefixes[0], scanned))
-
-    def _lead(self, token: Token, found: list[Listing], asked: Seconds) -> None:
-        live, placement_records, decommission_records, formats = found
-        self.upgrade.learn(formats.items)
+    def _lead(self, stored: StoredState) -> None:
+        """Begin a term with what earlier leaders left in the store."""
+        self.upgrade.learn(stored.formats)
         leader = Leader(
             self.deployment,
             self.election,
@@ -203,46 +233,16 @@
             self._wall,
             self.upgrade.complete,
         )
-        leader.term.watched = asked
-        leader.load(live.items, placement_records.items, decommission_records.items, self._now)
+        leader.term.jobs_read(stored.read_at)
+        leader.load(
+            stored.live.items, stored.placement_records, stored.decommission_records, self._now
+        )
         self.leader = leader
         self._outbox.log("info", f"leading with {len(leader.jobs)} jobs")
-        self._watch(leader, live.revision)
-
-    def _watch(self, leader: Leader, after: Version) -> None:
-        opened = self._now
-
-        def heard(watch_result: WatchResult | None) -> None:
-            if leader.term.retired:
-                return
-            if watch_result is None:
-                self._outbox.add(Delay(0.2, lambda: self._watch(leader, after)))
-            elif watch_result.lost:
-                self._reread(leader)
-            else:
-                leader.term.watched = max(leader.term.watched, opened)
-                changes: list[Item] = [c for c in watch_result.changes if c.key.startswith(LIVE)]
-                if changes:
-                    leader.apply_job_changes(changes, self._now)
-                self._watch(leader, max(after, watch_result.revision))
-
-        if not leader.term.retired:
-            self._outbox.add(Watch(LIVE, after, WATCH_S, heard))
-
-    def _reread(self, leader: Leader) -> None:
-        def scanned(listing: Listing | None) -> None:
-            if leader.term.retired:
-                return
-            if listing is None:
-                self._reread(leader)
-                return
-            leader.apply_job_changes(listing.items, self._now)
-            self._watch(leader, listing.revision)
-
-        self._outbox.add(Scan(LIVE, scanned))
+        JobWatch(leader.term, leader.apply_job_changes, stored.live.revision).begin()
 
     def _lost(self, reason: str) -> None:
         self._outbox.log("info", f"no longer leading: {reason}")
         if self.leader is not None:
-            self.leader.term.retired = True
+            self.leader.term.retire()
             self.leader = None
--- /dev/null
+++ b/src/crosscleat/core/control/job_watch.py
@@ -0,0 +1,138 @@
+"""What a new leader reads from the store, and how it follows the live jobs from then on.
+
+A takeover reads the live jobs first, then the records of placements, of decommissions and of
+controllers' versions. `JobWatch` starts at the revision of that first read, so it misses no change.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from ..election.term import LeadingTerm
+from ..model.effects import Delay, Outbox
+from ..model.ids import Seconds, Version
+from ..model.store_calls import Item, Listing, Scan, Watch, WatchResult
+from ..state.keys import DECOMMISSIONED, FORMAT, LIVE, PLACEMENTS
+
+WATCH_BLOCK_S = 1.0
+"""For so long the store may hold back the answer of a watch that has nothing to say."""
+
+WATCH_RETRY_S = 0.2
+"""Before a watch that was not answered is opened again."""
+
+TAKEOVER_PREFIXES = (LIVE, PLACEMENTS, DECOMMISSIONED, FORMAT)
+"""What a takeover reads, in this order; ended jobs are not read."""
+
+
+@dataclass(frozen=True, slots=True)
+class StoredState:
+    """What earlier leaders left in the store, as a takeover has read it."""
+
+    live: Listing
+    placement_records: list[Item]
+    decommission_records: list[Item]
+    formats: list[Item]
+    read_at: Seconds
+    """When the live jobs were asked for: later cancellations may be missing from them."""
+
+
+class TakeoverRead:
+    """Reads what a new term starts from, one prefix after the other, each until it is answered."""
+
+    def __init__(
+        self,
+        outbox: Outbox,
+        clock: Callable[[], Seconds],
+        still_elected: Callable[[], bool],
+        completed: Callable[[StoredState], None],
+    ) -> None:
+        """`still_elected`: whether the term that this read is for goes on; an answer that comes
+        after its end is dropped. `completed` is called once, when all has been read."""
+        self._outbox = outbox
+        self._clock = clock
+        self._still_elected = still_elected
+        self._completed = completed
+        self._listings: list[Listing] = []
+        self._read_at = clock()
+
+    def begin(self) -> None:
+        """Ask for the first prefix that has not been read yet."""
+        self._outbox.add(Scan(TAKEOVER_PREFIXES[len(self._listings)], self._scanned))
+
+    def _scanned(self, listing: Listing | None) -> None:
+        if not self._still_elected():
+            return
+        if listing is not None:
+            self._listings.append(listing)
+        elif not self._listings:
+            self._read_at = self._clock()
+        if len(self._listings) < len(TAKEOVER_PREFIXES):
+            self.begin()
+            return
+        live, placement_records, decommission_records, formats = self._listings
+        self._completed(
+            StoredState(
+                live,
+                placement_records.items,
+                decommission_records.items,
+                formats.items,
+                self._read_at,
+            )
+        )
+
+
+class JobWatch:
+    """Brings a term every change that users make to live jobs, until the term ends."""
+
+    def __init__(
+        self, term: LeadingTerm, changed: Callable[[list[Item], Seconds], None], after: Version
+    ) -> None:
+        """`changed` gets the changed records, oldest first; `after` is the last revision known."""
+        self._term = term
+        self._changed = changed
+        self._after = after
+
+    def begin(self) -> None:
+        """Ask for the changes since the last revision known."""
+        if self._term.retired:
+            return
+        opened = self._term.now
+        self._term.outbox.add(
+            Watch(
+                LIVE,
+                self._after,
+                WATCH_BLOCK_S,
+                lambda watch_result: self._answered(opened, watch_result),
+            )
+        )
+
+    def _answered(self, opened: Seconds, watch_result: WatchResult | None) -> None:
+        if self._term.retired:
+            return
+        if watch_result is None:
+            self._term.outbox.add(Delay(WATCH_RETRY_S, self.begin))
+        elif watch_result.lost:
+            self._read_all()
+        else:
+            self._term.watch_answered(opened)
+            changes = [change for change in watch_result.changes if change.key.startswith(LIVE)]
+            if changes:
+                self._changed(changes, self._term.now)
+            self._after = max(self._after, watch_result.revision)
+            self.begin()
+
+    def _read_all(self) -> None:
+        """The store no longer has all changes since our revision: read the records themselves."""
+
+        def scanned(listing: Listing | None) -> None:
+            if self._term.retired:
+                return
+            if listing is None:
+                self._read_all()
+                return
+            self._changed(listing.items, self._term.now)
+            self._after = listing.revision
+            self.begin()
+
+        self._term.outbox.add(Scan(LIVE, scanned))
--- a/src/crosscleat/core/election/term.py
+++ b/src/crosscleat/core/election/term.py
@@ -35,6 +35,22 @@
         self.retired = False
         """Another term has begun or none: late answers must not act for this one."""
 
+    def advance(self, now: Seconds) -> None:
+        """A step of the controller begins."""
+        self.now = now
+
+    def retire(self) -> None:
+        """The term is over."""
+        self.retired = True
+
+    def jobs_read(self, asked: Seconds) -> None:
+        """The live jobs that the term starts from were asked for at that time."""
+        self.watched = asked
+
+    def watch_answered(self, opened: Seconds) -> None:
+        """A watch of the live jobs, opened at that time, has brought all changes until then."""
+        self.watched = max(self.watched, opened)
+
     def renew_s(self) -> float:
         """For how long after its last contact with the store a leader renews leases."""
         d = self.deployment
