--- /dev/null
+++ b/tests/test_gang_attempts.py
@@ -0,0 +1,127 @@
+"""The attempts of a gang: their numbers, when their starts are sent, how they end."""
+
+from __future__ import annotations
+
+import pytest
+
+from crosscleat.core.model.effects import Response
+from crosscleat.core.model.ids import (
+    JobRef,
+    MachineId,
+    Seconds,
+    Team,
+    Token,
+    Version,
+)
+from crosscleat.core.model.job_spec import Shape
+from crosscleat.core.model.worker_calls import DirectCommand, StartOrder, StopOrder
+from crosscleat.core.state.jobs import Job
+
+from .gangs import gang_term, on_record, reported, starts_for, taken_over
+from .term import TOKEN
+from .test_rounds import machine, plan, waiting
+from .world import (
+    job,
+)
+
+
+def test_a_gang_one_of_whose_tasks_rests_is_not_tried_in_part() -> None:
+    gang = waiting("job-g", tasks=2, cpus=1.0, shape=Shape.GANG, team=Team("blue"))
+    fleet = [machine("m-0")]
+    assert len(plan([gang], fleet)) == 2
+    for _ in range(2):
+        gang.place(fleet[0].id, fleet[0].heartbeat_id.agent_epoch)
+    gang.requeue(0, None)
+    gang.requeue(1, type(gang.submitted)(1e6))
+    assert plan([gang], fleet) == []
+
+
+def test_all_tasks_of_an_attempt_have_one_number() -> None:
+    gang = Job(job("job-g", tasks=3, shape=Shape.GANG), Version(1), Seconds(0.0))
+    one = machine("m-0")
+    assert {gang.place(one.id, one.heartbeat_id.agent_epoch)[1] for _ in range(3)} == {1}
+    # A part of a second attempt was entered and void; the others never had that number.
+    for index in range(3):
+        gang.requeue(index, None)
+    gang.place(one.id, one.heartbeat_id.agent_epoch)
+    gang.requeue(2, None)
+    assert {gang.place(one.id, one.heartbeat_id.agent_epoch)[1] for _ in range(3)} == {3}
+
+
+def test_no_start_is_sent_while_a_place_is_not_on_record() -> None:
+    term = gang_term()
+    gang = term.leader.jobs[JobRef("job-g")]
+    one = next(iter(term.leader.cluster.machines.values()))
+    term.leader.scheduler.place_gang(gang, [one, one], term.now)
+    allocations = list(one.allocations.values())
+    assert len(allocations) == 2
+    allocations[0].recorded = True
+    assert not [
+        o for o in term.leader.commands.orders(one, term.now, 1) if isinstance(o, StartOrder)
+    ]
+    on_record(gang, one)
+    assert len(starts_for(term, one)) == 2
+
+
+def test_a_gang_takes_no_place_if_one_of_its_places_is_gone() -> None:
+    term = gang_term(tasks=3)
+    gang = term.leader.jobs[JobRef("job-g")]
+    one = next(iter(term.leader.cluster.machines.values()))
+    other = machine("m-9")
+    term.leader.scheduler.place_gang(gang, [one, one, other], term.now)
+    assert gang.placed_count() == 0 and not one.allocations, (
+        "the third machine is not known to be up"
+    )
+    assert term.leader.cluster.team_cpus.get("red", 0.0) == 0.0
+
+
+def test_all_are_told_to_save_at_once() -> None:
+    term = gang_term()
+    gang = term.leader.jobs[JobRef("job-g")]
+    one = next(iter(term.leader.cluster.machines.values()))
+    term.leader.scheduler.place_gang(gang, [one, one], term.now)
+    for allocation in one.allocations.values():
+        allocation.recorded = allocation.sent = allocation.listed = True
+    term.leader.gangs.stop(gang, 5.0)
+    stops = [o for o in term.leader.commands.orders(one, term.now, 1) if isinstance(o, StopOrder)]
+    assert [stop.grace_s for stop in stops] == [5.0, 5.0]
+    assert not any(isinstance(effect, Response) for effect in term.out.take())
+
+
+def test_a_start_that_was_lost_keeps_its_place_until_it_can_come_no_more() -> None:
+    term = gang_term()
+    gang = term.leader.jobs[JobRef("job-g")]
+    one = next(iter(term.leader.cluster.machines.values()))
+    term.leader.scheduler.place_gang(gang, [one, one], term.now)
+    on_record(gang, one)
+    term.out.take()
+    term.leader.commands.send_soon(one.id)
+    term.leader.commands.send_direct(term.now)
+    (start,) = [effect for effect in term.out.take() if isinstance(effect, DirectCommand)]
+    assert len(start.orders) == 2
+    start.continuation(None, True)
+    term.leader.gangs.stop(gang, 0.0)
+    term.step(2.0)
+    term.hear((1, 3))
+    term.hear((1, 4))
+    assert gang.placed_count() == 2, "it may be carried out yet"
+    # Only a higher token that the worker has seen rules that out.
+    term.leader.election.token = Token(TOKEN + 5)
+    term.hear((1, 5), token=TOKEN + 5)
+    assert gang.placed_count() == 0 and gang.waiting_count() == 2
+
+
+@pytest.mark.parametrize("on_record", [1, 2])
+def test_a_new_leader_goes_on_with_a_gang_only_if_all_of_it_is_on_record(on_record: int) -> None:
+    term = taken_over(on_record)
+    one = term.leader.cluster.machines[MachineId("m-0")]
+    if on_record == 1:
+        # Whether the gang waits is known once the machine is heard of; it has run, so it ends.
+        assert not any(allocation.stopping for allocation in one.allocations.values())
+        term.hear((1, 1), tasks=(reported(0, "running"),))
+    term.leader.finish_step(term.now)
+    allocations = list(one.allocations.values())
+    assert [allocation.stopping for allocation in allocations] == [on_record == 1] * on_record
+
+
+# A waiting gang that loses a task
--- /dev/null
+++ b/tests/test_gang_notices.py
@@ -0,0 +1,69 @@
+"""What a notice that a machine will be taken does to a gang."""
+
+from __future__ import annotations
+
+from crosscleat.core.model.ids import (
+    MachineId,
+    Seconds,
+)
+
+from .gangs import notice, placed_on_two, places, reported, running_on_two, stops
+
+
+def test_a_notice_stops_all_of_a_running_gang_with_the_time_to_save() -> None:
+    term, gang = running_on_two()
+    notice(term, "m-1", 4, 8.0, (reported(1, "running"),))
+    assert stops(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
+    # A second notice, on the other machine: it is stopping already.
+    notice(term, "m-0", 4, 8.0, (reported(0, "running"),))
+    assert stops(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
+    assert gang.progress.stopped_at == term.now
+
+
+def test_a_notice_lets_a_gang_go_on_that_ends_in_time() -> None:
+    term, _ = running_on_two(estimate_s=5.0)
+    notice(term, "m-1", 4, 8.0, (reported(1, "running"),))
+    assert stops(term) == {}
+
+
+def test_a_notice_too_short_to_save_stops_without_grace() -> None:
+    term, _ = running_on_two(save_s=7.5)
+    notice(term, "m-1", 4, 8.0, (reported(1, "running"),))
+    assert stops(term) == {"job-g/0": 0.0, "job-g/1": 0.0}
+
+
+def test_a_gang_waits_for_a_machine_that_cannot_be_told_while_the_notice_lasts() -> None:
+    term, _ = running_on_two()
+    far = term.leader.cluster.machines[MachineId("m-0")]
+    far.direct_after = Seconds(term.now + 100.0)
+    far.unresponsive_since = term.now
+    notice(term, "m-1", 4, 8.0, (reported(1, "running"),))
+    assert stops(term) == {}, "a stop that reaches one of them alone saves nothing"
+    term.step(2.0)
+    far.unresponsive_since, far.direct_after = None, Seconds(0.0)
+    term.hear((1, 5), tasks=(reported(0, "running"),))
+    term.leader.watch_machines(term.now)
+    assert stops(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
+
+
+def test_at_the_last_useful_moment_of_a_notice_the_gang_ends_unsaved() -> None:
+    term, _ = running_on_two()
+    far = term.leader.cluster.machines[MachineId("m-0")]
+    far.direct_after, far.unresponsive_since = Seconds(term.now + 100.0), term.now
+    notice(term, "m-1", 4, 8.0, (reported(1, "running"),))
+    term.step(5.5)
+    term.hear((1, 5), machine="m-1", tasks=(reported(1, "running"),))
+    term.leader.watch_machines(term.now)
+    assert stops(term) == {"job-g/0": 0.0, "job-g/1": 0.0}
+
+
+def test_a_notice_moves_the_task_of_a_waiting_gang() -> None:
+    term, gang = placed_on_two(tasks=3)
+    term.hear((1, 1), machine="m-2")
+    notice(term, "m-1", 4, 8.0, (reported(1, "fetching"), reported(2, "fetching")))
+    assert stops(term) == {"job-g/1": 0.0, "job-g/2": 0.0}
+    term.hear((1, 5), machine="m-1", tasks=(reported(1, "exited", "stopped"),))
+    term.hear((1, 6), machine="m-1", tasks=(reported(2, "exited", "stopped"),))
+    term.leader.finish_step(term.now)
+    assert places(term) == {"m-0": [(0, 1)], "m-1": [], "m-2": [(2, 1), (1, 1)]}
+    assert gang.progress.stopped_at is None
--- /dev/null
+++ b/tests/test_gang_progress.py
@@ -0,0 +1,66 @@
+"""What a gang has saved, and what its runs tell of its run time."""
+
+from __future__ import annotations
+
+import msgspec
+import pytest
+
+from crosscleat.core.control.gang_control import allocations_of
+from crosscleat.core.model.ids import (
+    Attempt,
+    Seconds,
+)
+from crosscleat.core.model.job_spec import Shape
+from crosscleat.core.scheduling.scoring import RunTimes, Scorer
+from crosscleat.core.state.gangs import GangProgress
+
+from .gangs import placed_on_two
+from .test_rounds import waiting
+from .world import (
+    deployment,
+    job,
+)
+
+
+def test_progress_is_what_a_saved_exit_proves_or_the_last_checkpoint() -> None:
+    spec = job("job-g", shape=Shape.GANG, checkpoint_s=10.0, save_s=2.0)
+    progress = GangProgress()
+    progress.runs(Seconds(100.0))
+    progress.stops(Seconds(117.0))
+    progress.end_attempt(spec, Seconds(121.0), saved=True)
+    assert progress.saved_s == 17.0, "it ends with the first stop"
+    progress.end_attempt(spec, Seconds(122.0), saved=True)
+    progress.begin_attempt(spec)
+    assert progress.saved_s == 17.0, "the others' exits add nothing"
+    progress.runs(Seconds(130.0))
+    progress.stops(Seconds(136.0))
+    progress.begin_attempt(spec)
+    assert progress.saved_s == 20.0, "a checkpoint is at a multiple of the job's own progress"
+    progress.runs(Seconds(140.0))
+    progress.stops(Seconds(145.0))
+    progress.begin_attempt(spec)
+    assert progress.saved_s == 20.0
+
+
+def test_what_is_left_to_run_counts_from_saved_progress() -> None:
+    gang = waiting("job-g", shape=Shape.GANG, estimate_s=60.0, checkpoint_s=10.0)
+    scorer = Scorer(deployment("c0"), RunTimes())
+    assert scorer.remaining_s(gang) == 60.0
+    gang.progress.saved_s = 45.0
+    assert scorer.remaining_s(gang) == 15.0
+
+
+@pytest.mark.parametrize("attempt, learned", [(1, (2.0 + 2.0 / 3.0) / 3.0), (2, 1.0)])
+def test_a_gang_teaches_its_run_time_once_and_only_by_a_whole_run(
+    attempt: int, learned: float
+) -> None:
+    """One observation of 20 of 30 s, beside two pretended ones of 1.0."""
+    term, gang = placed_on_two()
+    checkpoints = msgspec.structs.replace(gang.spec, checkpoint_s=10.0)
+    for _, allocation in list(allocations_of(term.leader.cluster, gang)):
+        allocation.spec, allocation.attempt = checkpoints, Attempt(attempt)
+        allocation.running_since = Seconds(term.now - 20.0)
+        allocation.placed_at = Seconds(term.leader.term.began + 0.1)
+        term.leader._learn_run_time(allocation, term.now)
+        gang.done_count += 1
+    assert term.leader.run_times.estimate(gang.spec) == pytest.approx(30.0 * learned)
