--- a/src/crosscleat/core/capacity/fleet.py
+++ b/src/crosscleat/core/capacity/fleet.py
@@ -10,7 +10,7 @@
 from ..model.deployment import TeamLimits, TuningOptions, is_backfill
 from ..model.ids import Seconds, Team, TypeName, Zone
 from ..model.job_spec import JobSpec, Priority
-from ..scheduling.free_capacity import fetch_time, fitting, troubled
+from ..scheduling.free_capacity import count_fitting, fails_repeatedly, fetch_time
 from ..scheduling.preemption import COUNTED_START_S
 from ..state.jobs import Job
 from ..state.machine import Machine
@@ -78,7 +78,7 @@
 
     def house(self, spec: JobSpec, most: int) -> int:
         """Take as many tasks as fit, up to `most`."""
-        count = min(most, fitting(spec, self.cpus, self.memory_gb, self.gpus))
+        count = min(most, count_fitting(spec, self.cpus, self.memory_gb, self.gpus))
         if count > 0:
             self.cpus -= count * spec.cpus
             self.memory_gb -= count * spec.memory_gb
@@ -110,7 +110,7 @@
         if _suits(job, space):
             zones.setdefault(space.machine.zone, []).append(space)
     for found in zones.values():
-        if sum(fitting(job.spec, s.cpus, s.memory_gb, s.gpus) for s in found) >= count:
+        if sum(count_fitting(job.spec, s.cpus, s.memory_gb, s.gpus) for s in found) >= count:
             return found
     return []
 
@@ -200,7 +200,7 @@
         No room is kept for backfill; `backfill_cpus` is what it uses of the team's CPUs.
         """
         waiting = sorted(
-            (job for job in jobs if job.waiting_count() > 0 and not troubled(job)),
+            (job for job in jobs if job.waiting_count() > 0 and not fails_repeatedly(job)),
             key=lambda job: (-job.spec.priority, job.submitted),
         )
         usable = [m for m in machines if self._counts(m, now)]
@@ -332,7 +332,7 @@
                 continue
             if choosy and (late or _only_idle_room(job)) and self.is_expensive(kind, key.spot):
                 continue
-            per = max(1, fitting(spec, kind.cpus, kind.memory_gb, kind.gpus))
+            per = max(1, count_fitting(spec, kind.cpus, kind.memory_gb, kind.gpus))
             options.append((kind.price_for(key.spot) / per, kind.cpus, key, per))
         if not options:
             return None
--- a/src/crosscleat/core/control/leader.py
+++ b/src/crosscleat/core/control/leader.py
@@ -24,7 +24,7 @@
 from ..model.ids import Attempt, JobRef, Seconds, TaskId, Token, TypeName, WallTime
 from ..model.job_spec import Shape
 from ..model.store_calls import Item
-from ..scheduling.free_capacity import troubled
+from ..scheduling.free_capacity import fails_repeatedly
 from ..scheduling.scoring import RunTimes, Scorer
 from ..state.allocations import Allocation
 from ..state.cluster import ClusterState
@@ -566,7 +566,7 @@
     def _blamed(self, machine: Machine) -> bool:
         """Whether several jobs failed on it, leaving out those that fail wherever they are."""
         jobs = (self.jobs.get(JobRef(ref)) for ref in machine.errors)
-        return sum(1 for job in jobs if job and not troubled(job)) >= QUARANTINE_JOBS
+        return sum(1 for job in jobs if job and not fails_repeatedly(job)) >= QUARANTINE_JOBS
 
     def _evacuate(self, machine: Machine, notice_s: float, now: Seconds) -> None:
         """Stop what the notice leaves no time for, so that it starts elsewhere sooner."""
--- a/src/crosscleat/core/control/scheduler.py
+++ b/src/crosscleat/core/control/scheduler.py
@@ -12,8 +12,9 @@
 from ..model.ids import JobRef, Member, Seconds
 from ..model.shards import ShardProposal
 from ..scheduling.cycle import MAX_ASSIGNMENTS, SchedulingCycle
-from ..scheduling.free_capacity import Assignment, fetch_time, within
+from ..scheduling.free_capacity import Assignment, fetch_time
 from ..scheduling.preemption import INTERVAL_S, Preemption
+from ..scheduling.quota import within_limit
 from ..scheduling.scoring import RunTimes, Scorer
 from ..scheduling.shard_dispatch import ShardDispatcher
 from ..state.allocations import Allocation
@@ -167,7 +168,7 @@
         if not shards:
             return
         machines = self._usable(now)
-        left = self._new_cycle(now).left_to_ordinary_work(machines)
+        left = self._new_cycle(now).kept_for_on_demand(machines)
         machines = [machine for machine in machines if machine.id not in left]
         reservations = self._new_cycle(now).reservations(self._plannable(), machines)
         factors = self._run_times.factors
@@ -202,8 +203,12 @@
             and machine.fits(spec)
             and machine.allowed(spec)
             and self._cluster.zone_allows(spec, machine.zone)
-            and within(self._cluster.team_cpus.get(spec.team, 0.0) + spec.cpus, limits.cpus_max)
-            and within(self._cluster.team_gpus.get(spec.team, 0.0) + spec.gpus, limits.gpus_max)
+            and within_limit(
+                self._cluster.team_cpus.get(spec.team, 0.0) + spec.cpus, limits.cpus_max
+            )
+            and within_limit(
+                self._cluster.team_gpus.get(spec.team, 0.0) + spec.gpus, limits.gpus_max
+            )
         )
 
     def place_gang(self, job: Job, machines: list[Machine], now: Seconds) -> None:
--- a/src/crosscleat/core/scheduling/cycle.py
+++ b/src/crosscleat/core/scheduling/cycle.py
@@ -18,9 +18,9 @@
 from ..state.jobs import Job
 from ..state.machine import Machine
 from .feasibility import Feasibility
-from .free_capacity import Assignment, FreeCapacity, Reservation, fetch_time, troubled
+from .free_capacity import Assignment, FreeCapacity, Reservation, fails_repeatedly, fetch_time
 from .gang_placement import GangPlacer
-from .reservations import reserve_machines, reserve_ordinary
+from .reservations import reserve_machines, reserve_on_demand
 from .scoring import Scorer
 
 MAX_JOBS = 120
@@ -91,7 +91,7 @@
         if not waiting:
             return []
         self._feasible.add_machines(machines)
-        reserve_ordinary(self._feasible.candidates, self._ordinary_reserve)
+        reserve_on_demand(self._feasible.candidates, self._ordinary_reserve)
         self._open_candidates(waiting)
         if not self._open:
             return []
@@ -141,14 +141,14 @@
         )
         return [Assignment(job.ref, candidate.machine.id) for candidate in candidates]
 
-    def left_to_ordinary_work(self, machines: Iterable[Machine]) -> set[MachineId]:
+    def kept_for_on_demand(self, machines: Iterable[Machine]) -> set[MachineId]:
         """Machines whose room is left to work that may not use spot machines."""
         self._feasible.add_machines(machines)
-        reserve_ordinary(self._feasible.candidates, self._ordinary_reserve)
+        reserve_on_demand(self._feasible.candidates, self._ordinary_reserve)
         return {
             candidate.machine.id
             for candidate in self._feasible.candidates
-            if candidate.ordinary_only
+            if candidate.kept_for_on_demand
         }
 
     def _reserve(self, waiting: list[Job]) -> None:
@@ -203,7 +203,7 @@
         taken = self._feasible.taken(job)
         if taken >= job.waiting_count() or not self._feasible.team_admits(job):
             return
-        if (troubled(job) or job.gang) and taken + job.placed_count() > 0:
+        if (fails_repeatedly(job) or job.gang) and taken + job.placed_count() > 0:
             return
         if job.gang and job.waiting_count() < job.spec.tasks:
             # Some of it rests after a failure: it is tried again whole.
--- a/src/crosscleat/core/scheduling/feasibility.py
+++ b/src/crosscleat/core/scheduling/feasibility.py
@@ -13,7 +13,8 @@
 from ..state.cluster import ClusterState
 from ..state.jobs import Job
 from ..state.machine import Machine
-from .free_capacity import FreeCapacity, Reservation, fetch_time, within
+from .free_capacity import FreeCapacity, Reservation, fetch_time
+from .quota import within_limit
 
 RESERVED_FROM_ALL_S = 60.0
 """Work of a higher priority may use a reserved machine until its job has waited so long."""
@@ -78,7 +79,7 @@
 
     def admits(self, job: Job, candidate: FreeCapacity) -> bool:
         """Whether the job's next task may go there."""
-        if not candidate.fits(job) or not candidate.machine.allowed(job.spec):
+        if not candidate.fits(job.spec) or not candidate.machine.allowed(job.spec):
             return False
         if self._held_back(job, candidate) and not self.impatient(job):
             return False
@@ -89,7 +90,7 @@
         reservation = candidate.reservation
         if reservation is not None and not self._may_use(job, reservation):
             return True
-        if candidate.ordinary_only and job.spec.spot and not self._large(job, candidate):
+        if candidate.kept_for_on_demand and job.spec.spot and not self._large(job, candidate):
             return True
         if not self._leaves_urgent_reserve(job, 1):
             return True
@@ -167,12 +168,12 @@
         if saved and used > 0.5 * most > 0.0:
             # A limit is room like any other: the last of it is for urgent work.
             most -= min(2.0 * self._urgent_reserve, QUOTA_SHARE * most)
-        return within(cpus, most) and within(gpus, limits.gpus_max)
+        return within_limit(cpus, most) and within_limit(gpus, limits.gpus_max)
 
     def take(self, job: Job, candidate: FreeCapacity) -> None:
         """Place one task of the job there."""
         spec = job.spec
-        candidate.take(job)
+        candidate.take(job.spec)
         self._free_cpus -= spec.cpus
         self._taken[job.ref] = self._taken.get(job.ref, 0) + 1
         self._cpus[spec.team] = self._cpus.get(spec.team, 0.0) + spec.cpus
--- a/src/crosscleat/core/scheduling/free_capacity.py
+++ b/src/crosscleat/core/scheduling/free_capacity.py
@@ -1,8 +1,8 @@
-"""What machines have left in one planning round, and small questions about tasks and room."""
+"""The free capacity of machines, and how many tasks of a job it holds."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import NamedTuple
 
 import msgspec
@@ -16,7 +16,10 @@
 ROUNDING = 1e-9
 """Sums of decimal amounts may be off by so much."""
 
-TROUBLED_MACHINES = 2
+UNBOUNDED_TASKS = 1e6
+"""How many tasks fit anywhere if one of them needs nothing."""
+
+REPEATED_FAILURE_MACHINES = 2
 """A job that failed on so many machines and succeeded on none is tried one task at a time."""
 
 
@@ -38,79 +41,89 @@
 
 @dataclass(slots=True)
 class FreeCapacity:
-    """What a machine still has in this round."""
+    """What of a machine no allocation takes, less what its user has counted into it since.
+
+    Scheduling cycles, preemption and scale-out each make their own from the machine's allocations
+    and use it up. Amounts may be below zero by rounding, or where a machine's type has shrunk.
+    """
 
     machine: Machine
     cpus: float
     gpus: float
-    memory: float
+    memory_gb: float
     fetching_s: float = 0.0
-    """Until its image fetches are over; set for machines with room only."""
+    """Seconds until its image fetches are over; a cycle sets it for machines that it ranks."""
     reservation: Reservation | None = None
-    ordinary_only: bool = False
+    kept_for_on_demand: bool = False
     """Left to work that may not use spot machines."""
 
     @classmethod
     def of(cls, machine: Machine) -> FreeCapacity:
-        """The room that the placements known so far leave on the machine."""
-        kind = machine.type
+        """What the allocations known so far leave of the machine."""
+        machine_type = machine.type
         return cls(
             machine,
-            kind.cpus - machine.used_cpus,
-            kind.gpus - machine.used_gpus,
-            kind.memory_gb - machine.used_memory,
+            machine_type.cpus - machine.used_cpus,
+            machine_type.gpus - machine.used_gpus,
+            machine_type.memory_gb - machine.used_memory,
         )
 
-    def fits(self, job: Job) -> bool:
+    def amounts(self) -> FreeCapacity:
+        """The same amounts to try something with; reservations and fetches are left out."""
+        return FreeCapacity(self.machine, self.cpus, self.gpus, self.memory_gb)
+
+    def fits(self, spec: JobSpec) -> bool:
         """Whether one more task of the job fits."""
-        spec = job.spec
         return (
             spec.cpus <= self.cpus + ROUNDING
-            and spec.memory_gb <= self.memory + ROUNDING
+            and spec.memory_gb <= self.memory_gb + ROUNDING
             and spec.gpus <= self.gpus + ROUNDING
         )
 
-    def take(self, job: Job) -> None:
-        """Use the room for one task."""
-        self.cpus -= job.spec.cpus
-        self.gpus -= job.spec.gpus
-        self.memory -= job.spec.memory_gb
+    def count_fitting(self, spec: JobSpec) -> int:
+        """How many more tasks of the job fit; below zero if less than nothing is left."""
+        return count_fitting(spec, self.cpus, self.memory_gb, self.gpus)
 
-    def give_back(self, spec: JobSpec) -> None:
-        """The room of one task is free again."""
-        self.cpus += spec.cpus
-        self.gpus += spec.gpus
-        self.memory += spec.memory_gb
+    def take(self, spec: JobSpec) -> None:
+        """Use the capacity of one task."""
+        self.cpus -= spec.cpus
+        self.gpus -= spec.gpus
+        self.memory_gb -= spec.memory_gb
 
+    def take_up_to(self, spec: JobSpec, max_count: int) -> int:
+        """Use the capacity of as many tasks as fit, up to `max_count`, and say of how many.
 
-@dataclass(slots=True)
-class MachineGroup:
-    """The rooms on machines of one type, zone and kind of rental: alike to every job."""
+        It subtracts their sum. `take` for each of them may differ from that by rounding.
+        """
+        count = min(max_count, self.count_fitting(spec))
+        if count > 0:
+            self.cpus -= count * spec.cpus
+            self.memory_gb -= count * spec.memory_gb
+            self.gpus -= count * spec.gpus
+        return count
 
-    machine: Machine
-    """Any of them."""
-    candidates: list[FreeCapacity] = field(default_factory=list)
-    reserved: int = 0
+    def give_back(self, spec: JobSpec) -> None:
+        """The capacity of one task is free again."""
+        self.cpus += spec.cpus
+        self.gpus += spec.gpus
+        self.memory_gb += spec.memory_gb
 
 
-def within(amount: float, limit: float) -> bool:
-    """Whether the amount keeps to the limit; a limit of 0 means none."""
-    return limit <= 0 or amount <= limit + ROUNDING
+def count_fitting(spec: JobSpec, cpus: float, memory_gb: float, gpus: float) -> int:
+    """How many of the job's tasks fit in so much free capacity."""
+    ratios = ((spec.cpus, cpus), (spec.memory_gb, memory_gb), (spec.gpus, gpus))
+    smallest = min(
+        (available / need for need, available in ratios if need > 0), default=UNBOUNDED_TASKS
+    )
+    return int(smallest + ROUNDING)
 
 
-def troubled(job: Job) -> bool:
-    """Whether the job fails wherever it is tried."""
-    return not job.succeeded and len(job.failed_on) >= TROUBLED_MACHINES
+def fails_repeatedly(job: Job) -> bool:
+    """Whether the job has failed on several machines and succeeded on none."""
+    return not job.succeeded and len(job.failed_on) >= REPEATED_FAILURE_MACHINES
 
 
-def fetch_time(spec: JobSpec, kind: MachineType) -> float:
+def fetch_time(spec: JobSpec, machine_type: MachineType) -> float:
     """Seconds that a machine of this type takes to fetch the job's image."""
-    return spec.image_gb / kind.fetch_gb_per_s if kind.fetch_gb_per_s > 0 else 0.0
-
-
-def fitting(spec: JobSpec, cpus: float, memory_gb: float, gpus: float) -> int:
-    """How many of the job's tasks fit in so much room."""
-    ratios = ((spec.cpus, cpus), (spec.memory_gb, memory_gb), (spec.gpus, gpus))
-    return int(
-        min((available / need for need, available in ratios if need > 0), default=1e6) + ROUNDING
-    )
+    rate = machine_type.fetch_gb_per_s
+    return spec.image_gb / rate if rate > 0 else 0.0
--- a/src/crosscleat/core/scheduling/gang_placement.py
+++ b/src/crosscleat/core/scheduling/gang_placement.py
@@ -14,7 +14,7 @@
 from ..state.gangs import FETCH_SPREAD, start_delay_s
 from ..state.jobs import Job
 from .feasibility import Feasibility
-from .free_capacity import FreeCapacity, fitting
+from .free_capacity import FreeCapacity
 from .scoring import Scorer
 
 
@@ -77,7 +77,7 @@
         """Orders in which rooms may be filled, in each zone where all tasks must be in one."""
         for candidates in self._zones(job, ranked):
             yield candidates
-            yield sorted(candidates, key=lambda candidate: -self._fitting(job, candidate))
+            yield sorted(candidates, key=lambda candidate: -candidate.count_fitting(job.spec))
 
     def _zones(self, job: Job, ranked: list[FreeCapacity]) -> list[list[FreeCapacity]]:
         if not job.spec.one_zone:
@@ -113,7 +113,7 @@
         for candidate in candidates:
             zone = candidate.machine.zone
             left = self._feasible.zone_left(job, zone) - in_zone[zone]
-            tasks = min(self._fitting(job, candidate), left, count - len(filled))
+            tasks = min(candidate.count_fitting(job.spec), left, count - len(filled))
             if tasks > 0:
                 filled.extend([candidate] * tasks)
                 in_zone[zone] += tasks
@@ -121,9 +121,6 @@
                 break
         return filled
 
-    def _fitting(self, job: Job, candidate: FreeCapacity) -> int:
-        return fitting(job.spec, candidate.cpus, candidate.memory, candidate.gpus)
-
     def _start_s(self, job: Job, candidate: FreeCapacity) -> float:
         """Until a task placed there now has its image."""
         delay_s = start_delay_s(candidate.machine, self._deployment, self._now)
--- a/src/crosscleat/core/scheduling/preemption.py
+++ b/src/crosscleat/core/scheduling/preemption.py
@@ -21,7 +21,8 @@
 from ..state.cluster import ClusterState
 from ..state.jobs import Job
 from ..state.machine import Machine
-from .free_capacity import FreeCapacity, fitting, troubled
+from .free_capacity import FreeCapacity, fails_repeatedly
+from .quota import tasks_within_limit
 
 INTERVAL_S = 0.5
 """How often tasks are chosen to be stopped."""
@@ -92,7 +93,7 @@
 
     def _may_preempt(self, job: Job) -> bool:
         """Gangs are left out: they need all their room at one time."""
-        return job.waiting_count() > 0 and not job.gang and not troubled(job)
+        return job.waiting_count() > 0 and not job.gang and not fails_repeatedly(job)
 
     def _ever_yields(self, team: Team, priority: Priority) -> bool:
         return priority is Priority.LOW or not has_guarantee(team, self._teams)
@@ -113,7 +114,7 @@
         return limits is not None and used + job.spec.cpus <= limits.cpus
 
     def _make_room(self, job: Job) -> None:
-        wanted = min(job.waiting_count(), self._within_limit(job))
+        wanted = self._within_limit(job)
         candidates = self._rooms_with_yielding_work(job)
         wanted -= self._count_freed_room(job, candidates, wanted)
         if wanted <= 0:
@@ -133,14 +134,12 @@
                 heapq.heappush(options, another)
 
     def _within_limit(self, job: Job) -> int:
-        """How many more tasks the team's limit admits; those that this pass counted use it."""
+        """How many waiting tasks the team's limit admits; those that this pass counted use it."""
         limits = self._teams.get(job.spec.team)
         if limits is None:
             return 0
-        if limits.cpus_max <= 0 or job.spec.cpus <= 0:
-            return job.waiting_count()
-        left = limits.cpus_max - self._cpus.get(job.spec.team, 0.0)
-        return max(0, int(left / job.spec.cpus + 1e-9))
+        used = self._cpus.get(job.spec.team, 0.0)
+        return tasks_within_limit(job.spec, job.waiting_count(), used, limits.cpus_max)
 
     def _rooms_with_yielding_work(self, job: Job) -> list[FreeCapacity]:
         """Machines that the job may use and on which work runs that makes room for it."""
@@ -173,10 +172,10 @@
         """How many of the job's tasks go into room that is free or being freed."""
         counted = 0
         for candidate in candidates:
-            count = fitting(job.spec, candidate.cpus, candidate.memory, candidate.gpus)
+            count = candidate.count_fitting(job.spec)
             count = max(0, min(count, wanted - counted))
             for _ in range(count):
-                candidate.take(job)
+                candidate.take(job.spec)
             counted += count
             if counted >= wanted:
                 break
@@ -186,18 +185,18 @@
 
     def _option(self, job: Job, candidate: FreeCapacity) -> Option | None:
         """The cheapest tasks to stop there so that one task of the job fits."""
-        freed = FreeCapacity(candidate.machine, candidate.cpus, candidate.gpus, candidate.memory)
+        freed = candidate.amounts()
         victims: list[Allocation] = []
         loss = 0.0
         for hold_loss, allocation in sorted(
             self._stoppable(job, candidate.machine), key=lambda found: found[0]
         ):
-            if freed.fits(job):
+            if freed.fits(job.spec):
                 break
             freed.give_back(allocation.spec)
             victims.append(allocation)
             loss += hold_loss
-        return Option(loss, candidate, victims) if victims and freed.fits(job) else None
+        return Option(loss, candidate, victims) if victims and freed.fits(job.spec) else None
 
     def _stoppable(self, job: Job, machine: Machine) -> Iterator[tuple[float, Allocation]]:
         for allocation in machine.allocations.values():
--- a/src/crosscleat/core/scheduling/reservations.py
+++ b/src/crosscleat/core/scheduling/reservations.py
@@ -9,12 +9,13 @@
 import heapq
 import math
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field
 
 from ..model.ids import Seconds, TypeName, Zone
 from ..state.jobs import Job
 from ..state.machine import Machine
 from .feasibility import LARGE_SHARE
-from .free_capacity import FreeCapacity, MachineGroup, Reservation, fitting
+from .free_capacity import FreeCapacity, Reservation, count_fitting
 from .scoring import Scorer
 
 RESERVE_AFTER_S = 5.0
@@ -24,6 +25,16 @@
 """At most this part of the machines that could hold a job's tasks is reserved."""
 
 
+@dataclass(slots=True)
+class MachineGroup:
+    """The free capacities of machines of one type, zone and price: alike to every job."""
+
+    machine: Machine
+    """Any of them."""
+    candidates: list[FreeCapacity] = field(default_factory=list)
+    reserved: int = 0
+
+
 def reserve_machines(
     candidates: Iterable[FreeCapacity],
     waiting: Iterable[Job],
@@ -49,7 +60,7 @@
             _reserve(job, able, count)
 
 
-def reserve_ordinary(candidates: Iterable[FreeCapacity], cpus: float) -> None:
+def reserve_on_demand(candidates: Iterable[FreeCapacity], cpus: float) -> None:
     """Leave so much room on ordinary machines to work that may use no others.
 
     In one zone, where most of it is free: a gang often has to be in one.
@@ -69,7 +80,7 @@
     ):
         if cpus <= 0.0:
             return
-        candidate.ordinary_only = True
+        candidate.kept_for_on_demand = True
         cpus -= candidate.cpus
 
 
@@ -128,7 +139,8 @@
     """How many of the job's tasks the machines would hold if they were empty."""
     kinds = ((group.machine.type, len(group.candidates)) for group in groups)
     return sum(
-        count * fitting(job.spec, kind.cpus, kind.memory_gb, kind.gpus) for kind, count in kinds
+        count * count_fitting(job.spec, kind.cpus, kind.memory_gb, kind.gpus)
+        for kind, count in kinds
     )
 
 
@@ -147,7 +159,7 @@
 def _reserve(job: Job, able: list[MachineGroup], count: int) -> None:
     """The emptiest machines that no other job has reserved."""
     free = (
-        (-candidate.cpus, -candidate.memory, number, candidate, group)
+        (-candidate.cpus, -candidate.memory_gb, number, candidate, group)
         for number, (candidate, group) in enumerate(
             (candidate, group) for group in able for candidate in group.candidates
         )
--- a/src/crosscleat/core/scheduling/sharding.py
+++ b/src/crosscleat/core/scheduling/sharding.py
@@ -21,7 +21,7 @@
 from ..state.jobs import Job
 from ..state.machine import Machine
 from .cycle import MAX_ASSIGNMENTS, SchedulingCycle
-from .free_capacity import Assignment, Reservation, troubled
+from .free_capacity import Assignment, Reservation, fails_repeatedly
 from .scoring import RunTimes, Scorer
 
 MAX_JOBS = 60
@@ -41,7 +41,7 @@
 
 def is_shardable(job: Job) -> bool:
     """Whether an owner may plan it: not what is tried with care, whole or after all others."""
-    return not job.gang and not job.backfill and not troubled(job)
+    return not job.gang and not job.backfill and not fails_repeatedly(job)
 
 
 def quota_shares(
