--- a/src/crosscleat/core/capacity/machines.py
+++ b/src/crosscleat/core/capacity/machines.py
@@ -69,6 +69,16 @@
         """The machine was deleted for its silence."""
 
 
+class MachineWork(Protocol):
+    """Takes note of work that machines cause (`control.pending_work.PendingWork`)."""
+
+    def write_soon(self) -> None:
+        """A decommission is to be recorded with the next transaction."""
+
+    def queue_heartbeat_requests(self, machines: Iterable[Machine]) -> None:
+        """Ask these machines for a heartbeat, in this order."""
+
+
 class Machines:
     """Enters, describes, lists, returns and deletes the machines in the ledger."""
 
@@ -80,18 +90,16 @@
         interruptions: InterruptionStats,
         decommission_records: DecommissionRecords,
         attempt_ended: Callable[[Machine, Allocation], None],
-        dropped: Callable[[], None],
-        queue_heartbeat_requests: Callable[[Iterable[Machine]], None],
+        pending: MachineWork,
     ) -> None:
-        """`gone`: what a machine held is proven gone; `dropped`: a deletion is to be recorded."""
+        """`attempt_ended`: an attempt on a machine is proven to have ended."""
         self._term = term
         self._cluster = cluster
         self._fleet = fleet
         self._interruptions = interruptions
         self._decommission_records = decommission_records
         self._attempt_ended = attempt_ended
-        self._decommission_decided = dropped
-        self._queue_heartbeat_requests = queue_heartbeat_requests
+        self._pending = pending
         self._deleted_names: deque[tuple[Seconds, MachineId]] = deque()
         """Machines that are deleted but still named in the store, and since when."""
         self._listing = False
@@ -179,7 +187,9 @@
         known = (entry for entry in entries if entry.id not in self.tombstones)
         unheard = [machine for entry in known if (machine := self._take_in(entry, now))]
         # First those with the most room: work may wait for it.
-        self._queue_heartbeat_requests(sorted(unheard, key=lambda machine: machine.used_cpus))
+        self._pending.queue_heartbeat_requests(
+            sorted(unheard, key=lambda machine: machine.used_cpus)
+        )
 
     def _take_in(self, entry: ListedMachine, now: Seconds) -> Machine | None:
         """The machine, if it runs and was not heard of in this term: ask, rather than wait for its
@@ -270,7 +280,7 @@
         """Decide to delete it: recorded first, then final."""
         if not machine.decommissioning:
             machine.decommissioning = True
-            self._decommission_decided()
+            self._pending.write_soon()
             self._term.outbox.log("info", f"machine {machine.id}: returned ({reason})")
 
     def delete_recorded(self, now: Seconds) -> None:
--- a/src/crosscleat/core/control/commands.py
+++ b/src/crosscleat/core/control/commands.py
@@ -2,13 +2,12 @@
 
 from __future__ import annotations
 
-from collections import deque
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 
 from ..election.term import LeadingTerm
 from ..model import heartbeats
 from ..model.heartbeats import Heartbeat
-from ..model.ids import NO_TOKEN, AgentEpoch, Attempt, JobRef, MachineId, Seconds, TaskId, Token
+from ..model.ids import NO_TOKEN, AgentEpoch, Attempt, JobRef, Seconds, TaskId, Token
 from ..model.job_spec import Shape
 from ..model.worker_calls import (
     ClearOrder,
@@ -23,6 +22,7 @@
 from ..state.cluster import ClusterState
 from ..state.jobs import Job
 from ..state.machine import Machine
+from .pending_work import PendingWork
 
 MAX_ORDERS = 300
 """In one message; the rest follows with the next."""
@@ -44,25 +44,18 @@
         term: LeadingTerm,
         jobs: dict[JobRef, Job],
         cluster: ClusterState,
+        pending: PendingWork,
         answered: Callable[[Machine, Heartbeat], None],
         missed: Callable[[Machine], None],
     ) -> None:
         self._term = term
         self._jobs = jobs
         self._cluster = cluster
+        self._pending = pending
         self._answered = answered
         self._missed = missed
-        self._direct_targets: set[MachineId] = set()
-        """Machines that have orders waiting which are worth a direct message."""
         self._whole: dict[JobRef, bool] = {}
         """Whether the gangs met so far may start, while orders are made out."""
-        self._heartbeat_requests: deque[Machine] = deque()
-        self.rotation_wanted = False
-        """Only a higher token rules out that a lost direct message is executed after all."""
-
-    def send_soon(self, machine: MachineId) -> None:
-        """Send what the machine is to do at the end of this step, not with its next check-in."""
-        self._direct_targets.add(machine)
 
     def answer(self, request: int, machine: Machine, now: Seconds, sequence: int) -> None:
         """Answer a check-in, whose tally this is, with what the worker is to do."""
@@ -141,13 +134,14 @@
 
     def _want_rotation(self, machine: Machine) -> None:
         if machine.shown_token >= self._term.began_token:
-            self.rotation_wanted = True
+            self._pending.rotation_wanted = True
 
     # Direct messages
 
     def send_direct(self, now: Seconds) -> None:
         """Send the machines that were kicked what they are to do."""
-        targets, self._direct_targets = self._direct_targets, set()
+        pending = self._pending
+        targets, pending.direct_targets = pending.direct_targets, set()
         self._whole.clear()
         if self._term.election.token is None:
             return
@@ -161,7 +155,7 @@
             ):
                 continue
             if machine.direct_in_flight:
-                self._direct_targets.add(machine_id)
+                pending.direct_targets.add(machine_id)
                 continue
             if now < machine.direct_after:
                 continue
@@ -169,16 +163,13 @@
             if orders:
                 self._send(machine, machine.heartbeat_id.agent_epoch, tuple(orders))
 
-    def queue_heartbeat_requests(self, machines: Iterable[Machine]) -> None:
-        """Send them a first message in turn."""
-        self._heartbeat_requests.extend(machines)
-
     def send_heartbeat_requests(self) -> None:
         """A new leader greets all machines, a few at a time: hundreds of messages at once would
         keep its own renewal and the first starts waiting."""
+        queued = self._pending.heartbeat_requests
         greeted = 0
-        while self._heartbeat_requests and greeted < MAX_HEARTBEAT_REQUESTS:
-            machine = self._heartbeat_requests.popleft()
+        while queued and greeted < MAX_HEARTBEAT_REQUESTS:
+            machine = queued.popleft()
             if not (machine.up and machine.confirmed) and machine.id in self._cluster.machines:
                 greeted += 1
                 self.request_heartbeat(machine)
--- a/src/crosscleat/core/control/leader.py
+++ b/src/crosscleat/core/control/leader.py
@@ -36,6 +36,7 @@
 from .commands import Commands
 from .gang_control import GangControl, allocations_of
 from .liveness import UNBROKEN_LEASES, Liveness
+from .pending_work import PendingWork
 from .scheduler import Scheduler
 from .writer import Writer
 
@@ -114,10 +115,12 @@
         )
         self.fleet.types = types
         self.interruptions = InterruptionStats()
+        self.pending = PendingWork()
         self.commands = Commands(
             self.term,
             self.jobs,
             self.cluster,
+            self.pending,
             self._direct_reply_received,
             self._direct_reply_missed,
         )
@@ -127,6 +130,7 @@
             self.cluster,
             self.placement_records,
             self.decommission_records,
+            self.pending,
             self._on_record,
             self._void_unrecorded,
             self._live_reread,
@@ -141,8 +145,7 @@
             lambda machine, allocation: self.attempt_ended(
                 machine, allocation, self.term.now, None
             ),
-            self.writer.changed,
-            self.commands.queue_heartbeat_requests,
+            self.pending,
         )
         self.liveness = Liveness(
             deployment,
@@ -173,7 +176,7 @@
             self.machines,
             self.gangs,
             self.placement_records,
-            self.writer,
+            self.pending,
             self._preempt,
             lambda machine, allocation: self.attempt_ended(
                 machine, allocation, self.term.now, None
@@ -222,7 +225,7 @@
                 self._cancel(job)
             elif job.gang:
                 self.gangs.resume(job)
-            self.writer.see_end(job)
+            self.pending.record_end_if_over(job)
         for machine_id in self.decommission_records.load(decommission_records):
             machine = self.machines.enter_recorded(machine_id)
             machine.decommissioning = machine.decommission_recorded = True
@@ -264,13 +267,13 @@
                 job = self.jobs[ref] = self._read_job(change, now)
                 self.fleet.arrived(job, now)
                 job.at_risk = self.interruptions.at_risk(job, self.scorer, now)
-                self.scheduler.wanted = True
+                self.pending.cycle_wanted = True
                 if change.value["aborted"]:
                     self._cancel(job)
             elif change.version > job.version:
                 job.version = change.version
                 job.needs_reread = False
-                self.writer.changed()
+                self.pending.write_soon()
                 if change.value["aborted"]:
                     self._cancel(job)
 
@@ -278,16 +281,16 @@
         if job.cancelled:
             return
         job.cancelled = True
-        self.writer.changed()
+        self.pending.write_soon()
         for machine, allocation in list(allocations_of(self.cluster, job)):
             self._stop_attempt(machine, allocation, 0.0)
-        self.writer.see_end(job)
+        self.pending.record_end_if_over(job)
 
     def _stop_attempt(self, machine: Machine, allocation: Allocation, grace_s: float) -> None:
         """Stop the attempt; its hold stays until it is proven gone."""
         allocation.stopping = True
         allocation.grace_s = grace_s
-        self.commands.send_soon(machine.id)
+        self.pending.send_soon(machine.id)
         if not allocation.listed and not machine.may_still_start(allocation):
             self.attempt_ended(machine, allocation, self.term.now, None)
 
@@ -325,7 +328,7 @@
         self._apply(machine, heartbeat, now, receive_heartbeat=True)
         self.liveness.heartbeat_received(now)
         if not machine.confirmed:
-            self.commands.queue_heartbeat_requests([machine])
+            self.pending.queue_heartbeat_requests([machine])
         self.commands.answer(request, machine, now, heartbeat.heartbeat_id.sequence)
         if now - machine.answered_at > UNBROKEN_LEASES * self.deployment.lease_s:
             # Reports held up in a cut come all at once, long after their workers gave them up.
@@ -416,7 +419,7 @@
             machine.confirmed = True
         if not machine.up:
             machine.up = True
-            self.scheduler.wanted = True
+            self.pending.cycle_wanted = True
         if later_session:
             # A session's lease also runs from its beginning, answered or not.
             machine.last_answer = max(machine.last_answer, now)
@@ -507,8 +510,8 @@
     ) -> None:
         """The attempt is proven gone, by its exit's cause or, with None, without a result."""
         self.cluster.remove(machine, allocation)
-        self.scheduler.wanted = True
-        self.writer.changed()
+        self.pending.cycle_wanted = True
+        self.pending.write_soon()
         job = self.jobs.get(allocation.task.job)
         number = allocation.task.number
         if job is None or not job.is_current(number, allocation.attempt, machine.id):
@@ -519,7 +522,7 @@
             self._finish(job, number)
         elif job.cancelled:
             job.requeue(number, None)
-            self.writer.see_end(job)
+            self.pending.record_end_if_over(job)
         else:
             if job.gang:
                 self.gangs.lost(job, number, machine, cause)
@@ -531,7 +534,7 @@
         job.finish(number)
         if job.gang:
             job.finish_unplaced()
-        self.writer.see_end(job)
+        self.pending.record_end_if_over(job)
 
     def _not_before(
         self, machine: Machine, job: Job, number: int, cause: str | None, now: Seconds
@@ -594,11 +597,11 @@
             machine, allocation = found
             allocation.recorded = True
             if not allocation.stopping:
-                self.commands.send_soon(machine.id)
+                self.pending.send_soon(machine.id)
         if job.gang and numbers and job.whole:
             # Those recorded before waited for the last.
             for machine, _ in allocations_of(self.cluster, job):
-                self.commands.send_soon(machine.id)
+                self.pending.send_soon(machine.id)
 
     def _void_unrecorded(self, job: Job) -> None:
         """The user cancelled the job: what was not on record was never sent, and is void."""
@@ -623,7 +626,7 @@
             if job.resting:
                 job.wake(now)
         if self.gangs.any_incomplete:
-            self.scheduler.wanted = True
+            self.pending.cycle_wanted = True
         self.liveness.tick()
         machines = len(self.cluster.machines)
         if now >= self._watch_at:
@@ -634,7 +637,7 @@
         self.commands.send_heartbeat_requests()
         if now >= self._full_cycle_at:
             self._full_cycle_at = Seconds(now + self.tuning.round_s)
-            self.scheduler.wanted = True
+            self.pending.cycle_wanted = True
             self.writer.remove(self.machines.forget_old(now, self.writer.writing))
             self.scheduler.dispatch_shards(now)
         self.autoscaler.adjust(now)
@@ -661,8 +664,7 @@
         if self.term.retired:
             return
         self.scheduler.run_if_due(now)
-        if self.writer.flush(now, self.commands.rotation_wanted):
-            self.commands.rotation_wanted = False
+        self.writer.flush(now)
         self.commands.send_direct(now)
 
     # For display
--- a/src/crosscleat/core/control/scheduler.py
+++ b/src/crosscleat/core/control/scheduler.py
@@ -23,7 +23,7 @@
 from ..state.machine import Machine
 from ..state.placement_records import PlacementRecords
 from .gang_control import GangControl, allocations_of
-from .writer import Writer
+from .pending_work import PendingWork
 
 PROMPT_MACHINES = 1_500
 """With more machines rounds follow each other less closely, as each looks at all of them."""
@@ -46,7 +46,7 @@
         machines: Machines,
         gangs: GangControl,
         placement_records: PlacementRecords,
-        writer: Writer,
+        pending: PendingWork,
         stop: Callable[[Machine, Allocation], None],
         attempt_ended: Callable[[Machine, Allocation], None],
         rng: Random,
@@ -61,7 +61,7 @@
         self._machines = machines
         self._gangs = gangs
         self._placement_records = placement_records
-        self._writer = writer
+        self._pending = pending
         self._stop = stop
         self._attempt_ended = attempt_ended
         self._rng = rng
@@ -70,15 +70,13 @@
         self._preempt_at = term.now
         self._preempt_later = False
         """What waits was not looked at because this was done just before."""
-        self.wanted = True
-        """A round may find something to place."""
 
     def run_if_due(self, now: Seconds) -> None:
         """Plan a round if something has changed, and not too soon after the one before."""
         preempts = self._preempt_later and now >= self._preempt_at
-        if (self.wanted or preempts) and now >= self._cycle_at:
+        if (self._pending.cycle_wanted or preempts) and now >= self._cycle_at:
             self._cycle_at = Seconds(now + self._prompt_s())
-            self.wanted = False
+            self._pending.cycle_wanted = False
             self._run_cycle(now)
 
     def _prompt_s(self) -> float:
@@ -104,7 +102,7 @@
         planned = self._new_cycle(now).plan(mine, machines, MAX_ASSIGNMENTS, reservations)
         self._commit(planned, now)
         if len(planned) >= MAX_ASSIGNMENTS:
-            self.wanted = True
+            self._pending.cycle_wanted = True
         else:
             self._preempt(mine, machines, now)
 
@@ -179,7 +177,7 @@
         assignments = self._shards.accept(member, proposal)
         if assignments is None:
             return
-        self.wanted = True
+        self._pending.cycle_wanted = True
         if not self._term.may_start(now):
             return
         for assignment in assignments:
@@ -230,7 +228,7 @@
         spec = job.spec
         task, attempt = job.place(machine.id, machine.heartbeat_id.agent_epoch)
         self._placement_records.of(job, job.chunk_of(task.number)).want(spec.priority, now)
-        self._writer.changed()
+        self._pending.write_soon()
         allocation = Allocation(
             task,
             attempt,
--- a/src/crosscleat/core/control/writer.py
+++ b/src/crosscleat/core/control/writer.py
@@ -19,6 +19,7 @@
 from ..state.jobs import Job
 from ..state.keys import live_key
 from ..state.placement_records import PlacementRecord, PlacementRecords
+from .pending_work import PendingWork
 
 LAZY_S = 0.8
 """How often what only spares a successor some work is written."""
@@ -48,6 +49,7 @@
         cluster: ClusterState,
         placement_records: PlacementRecords,
         decommission_records: DecommissionRecords,
+        pending: PendingWork,
         recorded: Callable[[Job, list[int]], None],
         void: Callable[[Job], None],
         reread: Callable[[Item], None],
@@ -61,52 +63,44 @@
         self._cluster = cluster
         self._placement_records = placement_records
         self._decommission_records = decommission_records
+        self._pending = pending
         self._recorded = recorded
         self._void = void
         self._reread_item = reread
         self._ended = ended
         self._obsolete: deque[tuple[str, Version]] = deque()
         """Records that say nothing any more, to be removed."""
-        self._unwritten = True
-        """Starts, ends or deletions may wait to be written; progress waits for its own time."""
-        self._ending: dict[JobRef, Job] = {}
-        """Jobs that are over, but for the transaction that says so."""
         self._lazy_at = term.now
         self._rotated_at = term.now
         self.writing = False
         """A transaction is under way."""
 
-    def changed(self) -> None:
-        """Something is to be written with the next transaction."""
-        self._unwritten = True
-
-    def see_end(self, job: Job) -> None:
-        """Write its end, if nothing more can happen to the job."""
-        if job.over():
-            self._ending[job.ref] = job
-
     def remove(self, obsolete: Iterable[tuple[str, Version]]) -> None:
         """Remove these records, a few at a time."""
         self._obsolete.extend(obsolete)
 
-    def flush(self, now: Seconds, rotation_wanted: bool) -> bool:
-        """Send the next transaction, if none is under way; true if it is the token's rotation."""
+    def flush(self, now: Seconds) -> None:
+        """Send the next transaction, if none is in flight: the token's rotation goes first."""
         token = self._term.election.token
         if self.writing or self._term.retired or token is None:
-            return False
-        if rotation_wanted and now - self._rotated_at > ROTATE_S and self._rotate(now):
-            return True
+            return
+        if (
+            self._pending.rotation_wanted
+            and now - self._rotated_at > ROTATE_S
+            and self._rotate(now)
+        ):
+            self._pending.rotation_wanted = False
+            return
         lazy = now - self._lazy_at >= LAZY_S
-        if not lazy and not self._unwritten:
-            return False
-        self._unwritten = False
+        if not lazy and not self._pending.unwritten:
+            return
+        self._pending.unwritten = False
         batch = self._urgent_batch(token, now)
         if lazy:
             self._lazy_at = now
             self._add_lazy(batch)
         if batch.writes:
             self._write(batch)
-        return False
 
     def _urgent_batch(self, token: Token, now: Seconds) -> Batch:
         """The region's few writes a second go to starts first, then to deletions and to ends,
@@ -116,7 +110,7 @@
             batch.record(record)
         self._add_decommissions(batch)
         batch.limit(ENDS_WRITES)
-        for job in self._ending.values():
+        for job in self._pending.ending.values():
             if not job.needs_reread and batch.room(2, 1):
                 batch.end(job)
         return batch
@@ -168,7 +162,7 @@
             self._write(batch)
             return
         self.writing = False
-        self._unwritten = True
+        self._pending.unwritten = True
         if isinstance(result, Committed):
             self._committed(batch, result.revision)
         elif isinstance(result, Conflict) and self._only_live(batch, result):
@@ -196,7 +190,7 @@
             self._recorded(job, [found.number for found in fresh if job.is_current(*found)])
         self._placement_records.written((job, chunk) for job, chunk, _ in batch.chunks)
         for job in batch.ended:
-            del self._ending[job.ref]
+            del self._pending.ending[job.ref]
             self._placement_records.forget(job)
             self._ended(job)
         self.remove(self._placement_records.superseded())
--- a/tests/test_gang_attempts.py
+++ b/tests/test_gang_attempts.py
@@ -95,7 +95,7 @@
     term.leader.scheduler.place_gang(gang, [one, one], term.now)
     on_record(gang, one)
     term.out.take()
-    term.leader.commands.send_soon(one.id)
+    term.leader.pending.send_soon(one.id)
     term.leader.commands.send_direct(term.now)
     (start,) = [effect for effect in term.out.take() if isinstance(effect, DirectCommand)]
     assert len(start.orders) == 2
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -176,7 +176,7 @@
         term.step(0.1)
         for machine in term.leader.cluster.machines.values():
             machine.last_heard = term.now
-        term.leader.scheduler.wanted = True
+        term.leader.pending.cycle_wanted = True
         term.leader.tick(term.now)
         term.leader.finish_step(term.now)
     assert 2 * machines <= watched[0] <= 6 * 1.3 * WATCHED_PER_S
--- a/tests/test_unresponsive_workers.py
+++ b/tests/test_unresponsive_workers.py
@@ -245,7 +245,7 @@
     term = Term(*held(agent_epoch=1))
     term.hear((1, 1))
     machine = term.leader.cluster.machines[MachineId("m-0")]
-    term.leader.commands.send_soon(machine.id)
+    term.leader.pending.send_soon(machine.id)
     term.leader.finish_step(term.now)
     (start,) = [e for e in term.out.take() if isinstance(e, DirectCommand) and e.orders]
     task = TaskStatus(TaskId(JobRef("job-1"), 0), Attempt(1), "running", None)
