--- /dev/null
+++ b/tests/world/effects.py
@@ -0,0 +1,108 @@
+"""What a controller decides is carried out."""
+
+from __future__ import annotations
+
+from functools import partial
+from typing import TYPE_CHECKING, Any
+
+from crosscleat.core.model.cloud_calls import DeleteMachines, ListMachines, ListTypes, Rent
+from crosscleat.core.model.effects import (
+    BroadcastProgress,
+    Delay,
+    Effect,
+    LogRecord,
+    ProposeShard,
+    Response,
+    ShardRequest,
+)
+from crosscleat.core.model.heartbeats import Heartbeat
+from crosscleat.core.model.ids import Member
+from crosscleat.core.model.inputs import (
+    CallCompleted,
+    ProbeReply,
+    ProgressReceived,
+    ShardProposed,
+    ShardRequested,
+)
+from crosscleat.core.model.store_calls import (
+    RevokeLease,
+)
+from crosscleat.core.model.worker_calls import DirectCommand, HeartbeatResponse, IndirectProbe
+
+from .helpers import void
+from .scenario import (
+    MEMBERS,
+)
+
+if TYPE_CHECKING:
+    from .world import Process, World
+
+
+class Effects:
+    """What a controller decides is carried out."""
+
+    def __init__(self, world: World) -> None:
+        self.world = world
+
+    def carry_out(self, member: str, process: Process, effect: Effect) -> None:  # noqa: C901 - one case a message
+        def back(*results: Any) -> None:
+            call: Any = effect
+            self.world.feed(member, process, CallCompleted(call.continuation, results))
+
+        match effect:
+            case Response() | HeartbeatResponse():
+                continuation = process.requests.pop(effect.request, None)
+                if continuation is not None:
+                    continuation(effect)
+            case Delay():
+                self.world.clock.after(effect.delay_s, lambda: back())
+            case BroadcastProgress():
+                counts = ProgressReceived(effect.message)
+                for other in MEMBERS:
+                    if other != member and self.world.network.whole(member, other):
+                        self.world.clock.after(0.01, partial(self.world.hear, other, counts))
+            case LogRecord():
+                pass
+            case IndirectProbe():
+                for other in MEMBERS:
+                    if other != member:
+                        self.world.network.send(
+                            member, other, partial(self.probe, member, other, effect)
+                        )
+            case ShardRequest():
+                other = effect.member
+                self.world.network.send(
+                    member,
+                    other,
+                    lambda: self.world.hear(other, ShardRequested(Member(member), effect.view)),
+                )
+            case ProposeShard():
+                other = effect.member
+                told = ShardProposed(Member(member), effect.proposal)
+
+                def propose() -> None:
+                    self.world.network.send(member, other, lambda: self.world.hear(other, told))
+
+                # An owner may be slow, and its proposal outdated when it comes.
+                self.world.clock.after(self.world.rng.choice((0.0, 0.0, 0.0, 0.3, 5.2)), propose)
+            case RevokeLease():
+                self.world.store_calls.state(member, effect, lambda *_: None)
+            case DirectCommand():
+                self.world.worker_calls.direct(member, effect, back)
+            case Rent() | DeleteMachines() | ListMachines() | ListTypes():
+                self.world.clouds.cloud(member, effect, back)
+            case _:
+                self.world.store_calls.state(member, effect, back)
+
+    def probe(self, member: str, other: str, asked: IndirectProbe) -> None:
+        if self.world.processes[other] is None:
+            return
+
+        def found(report: Heartbeat | None, _perhaps: bool) -> None:
+            if report is not None:
+                self.world.network.send(
+                    other, member, lambda: self.world.hear(member, ProbeReply(report))
+                )
+
+        call = DirectCommand(asked.address, asked.token, asked.agent_epoch, (), void)
+        self.world.worker_calls.direct(other, call, found)
--- a/tests/world/worker.py
+++ b/tests/world/worker.py
@@ -129,7 +129,7 @@
         def answered(answer: HeartbeatResponse | None) -> None:
             self.when_awake(lambda: self.take(number, session, sent, answer))
 
-        self.world.deliver_check_in(self.id, member, report, answered)
+        self.world.worker_calls.deliver_check_in(self.id, member, report, answered)
         self.world.clock.after(4.0, lambda: self.take(number, session, sent, None))
 
     def take(
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -14,48 +14,21 @@
 from typing import Any
 
 from crosscleat.core.control.controller import Controller
-from crosscleat.core.model.cloud_calls import DeleteMachines, ListMachines, ListTypes, Rent
 from crosscleat.core.model.effects import (
-    BroadcastProgress,
-    Delay,
     Effect,
-    LogRecord,
-    ProposeShard,
-    Response,
-    ShardRequest,
 )
-from crosscleat.core.model.heartbeats import Heartbeat
-from crosscleat.core.model.ids import LeaseId, Member, Seconds, TaskId, Team, Version, WallTime
+from crosscleat.core.model.ids import Member, Seconds, TaskId, Team, WallTime
 from crosscleat.core.model.inputs import (
-    CallCompleted,
-    HeartbeatReceived,
     PeerUnreachable,
-    ProbeReply,
-    ProgressReceived,
-    ShardProposed,
-    ShardRequested,
     Started,
     Tick,
 )
 from crosscleat.core.model.job_spec import JobSpec
-from crosscleat.core.model.store_calls import (
-    Commit,
-    Found,
-    GrantLease,
-    Listing,
-    Read,
-    RenewLease,
-    RevokeLease,
-    Scan,
-    Watch,
-    WatchResult,
-)
-from crosscleat.core.model.worker_calls import DirectCommand, HeartbeatResponse, IndirectProbe
 
 from .clock import Clock
 from .cloud import Cloud
+from .effects import Effects
 from .gangs import Gangs
-from .helpers import is_of_upgrade, void
 from .network import Network
 from .rules import Rules
 from .scenario import (
@@ -63,15 +36,16 @@
     LIMITS,
     MEMBERS,
     NEXT_LIMITS,
-    PATIENCE_S,
     REGION,
     TICK_S,
     deployment,
     job,
 )
 from .store import Store
+from .store_calls import StoreCalls
 from .users import Users
 from .worker import Worker
+from .worker_calls import WorkerCalls
 
 
 @dataclass
@@ -132,6 +106,9 @@
         self.answered: dict[str, float] = {}
         """When a question about the job was last answered."""
         self.clouds = Cloud(self)
+        self.effects = Effects(self)
+        self.store_calls = StoreCalls(self)
+        self.worker_calls = WorkerCalls(self)
         self.rules = Rules(self)
         self.users = Users(self)
         self.gangs = Gangs(self)
@@ -234,7 +211,7 @@
     def carry_out_all(self, member: str, process: Process, effects: list[Effect]) -> None:
         if process.alive:
             for effect in effects:
-                self.carry_out(member, process, effect)
+                self.effects.carry_out(member, process, effect)
 
     def freeze(self, member: str, seconds: float) -> None:
         """It stands still while its clocks run on; what arrives waits for it."""
@@ -253,244 +230,11 @@
         process.requests[number] = continuation
         self.feed(member, process, make(number))
 
-    def carry_out(self, member: str, process: Process, effect: Effect) -> None:  # noqa: C901 - one case a message
-        def back(*results: Any) -> None:
-            call: Any = effect
-            self.feed(member, process, CallCompleted(call.continuation, results))
-
-        match effect:
-            case Response() | HeartbeatResponse():
-                continuation = process.requests.pop(effect.request, None)
-                if continuation is not None:
-                    continuation(effect)
-            case Delay():
-                self.clock.after(effect.delay_s, lambda: back())
-            case BroadcastProgress():
-                counts = ProgressReceived(effect.message)
-                for other in MEMBERS:
-                    if other != member and self.network.whole(member, other):
-                        self.clock.after(0.01, partial(self.hear, other, counts))
-            case LogRecord():
-                pass
-            case IndirectProbe():
-                for other in MEMBERS:
-                    if other != member:
-                        self.network.send(member, other, partial(self.probe, member, other, effect))
-            case ShardRequest():
-                other = effect.member
-                self.network.send(
-                    member,
-                    other,
-                    lambda: self.hear(other, ShardRequested(Member(member), effect.view)),
-                )
-            case ProposeShard():
-                other = effect.member
-                told = ShardProposed(Member(member), effect.proposal)
-
-                def propose() -> None:
-                    self.network.send(member, other, lambda: self.hear(other, told))
-
-                # An owner may be slow, and its proposal outdated when it comes.
-                self.clock.after(self.rng.choice((0.0, 0.0, 0.0, 0.3, 5.2)), propose)
-            case RevokeLease():
-                self.state(member, effect, lambda *_: None)
-            case DirectCommand():
-                self.direct(member, effect, back)
-            case Rent() | DeleteMachines() | ListMachines() | ListTypes():
-                self.clouds.cloud(member, effect, back)
-            case _:
-                self.state(member, effect, back)
-
-    def probe(self, member: str, other: str, asked: IndirectProbe) -> None:
-        if self.processes[other] is None:
-            return
-
-        def found(report: Heartbeat | None, _perhaps: bool) -> None:
-            if report is not None:
-                self.network.send(other, member, lambda: self.hear(member, ProbeReply(report)))
-
-        call = DirectCommand(asked.address, asked.token, asked.agent_epoch, (), void)
-        self.direct(other, call, found)
-
     def hear(self, member: str, told: Any) -> None:
         process = self.processes[member]
         if process is not None:
             self.feed(member, process, told)
 
-    # State service
-
-    def state(self, member: str, effect: Any, back: Callable[..., None]) -> None:
-        delay = self.rng.uniform(0.002, 0.02)
-        if member in self.old and is_of_upgrade(effect):
-            # The version before neither writes such keys nor reads them.
-            listing = Listing([], Version(self.store.revision))
-            result = listing if isinstance(effect, Scan) else None
-            self.clock.after(delay, lambda: back(result))
-            return
-        if isinstance(effect, Watch):
-            self.clock.after(delay, lambda: self.watch(member, effect, back, effect.block_s))
-            return
-        if isinstance(effect, Commit) and self.rng.random() < self.flaky:
-            self.clock.after(delay, lambda: self.flaky_commit(effect, back))
-            return
-        if not isinstance(effect, (Read, Scan)) and self.rng.random() < self.late_writes:
-            # Also the end or the renewal of a lease, which is harmless only while it is ours.
-            self.clock.after(self.rng.uniform(2.0, 12.0), lambda: void(self.serve(effect)))
-            self.clock.after(1.0, lambda: back(None))
-            return
-        if self.slow_store_s:
-            delay = self.rng.uniform(0.0, self.slow_store_s) / 2.0
-        back_s = delay
-        if isinstance(effect, Scan):
-            back_s += self.slow_scans.get(effect.prefix, 0.0)
-        patience_s = PATIENCE_S[type(effect)]
-
-        def arrive() -> None:
-            if not self.reaches_store(member):
-                patience = 0.0 if getattr(effect, "for_user", False) else 0.5
-                self.clock.after(patience, lambda: back(None))
-                return
-            result = self.serve(effect)
-            if delay + back_s > patience_s:
-                # It was carried out; only nobody waits for the answer any more.
-                self.clock.after(max(0.0, patience_s - delay), lambda: back(None))
-            else:
-                self.clock.after(back_s, lambda: back(result))
-
-        self.clock.after(delay, arrive)
-
-    def reaches_store(self, member: str) -> bool:
-        return self.store.serves(member) and self.network.whole(member, REGION)
-
-    def flaky_commit(self, effect: Commit, back: Callable[..., None]) -> None:
-        """No answer: executed now, or minutes later, and perhaps tried again meanwhile."""
-        late = self.rng.choice((0.0, 0.3, 5.0, 60.0))
-        # Only once the service is back can it execute what was held up.
-        self.clock.after(late, lambda: self.store.commit(effect, True))
-        if self.rng.random() < 0.5:
-            self.clock.after(1.0, lambda: back(None))
-        else:
-            self.clock.after(0.2, lambda: back(self.store.commit(effect, True)))
-
-    def serve(self, effect: Any) -> Any:
-        match effect:
-            case Commit():
-                return self.store.commit(effect, False)
-            case Read():
-                self.store.expire()
-                return Found(self.store.item(effect.key), Version(self.store.revision))
-            case Scan():
-                return self.store.listing(effect.prefix)
-            case GrantLease():
-                return LeaseId(self.store.grant(effect.life_s))
-            case RenewLease():
-                self.store.expire()
-                return self.store.touch(effect.lease)
-            case RevokeLease():
-                return self.store.revoke(effect.lease)
-        raise TypeError(effect)
-
-    def watch(self, member: str, effect: Watch, back: Callable[..., None], left: float) -> None:
-        news = self.store.news(effect.prefix, effect.after) if self.store.serves(member) else []
-        if not self.network.whole(member, REGION) or member in self.slow_watches:
-            self.clock.after(0.5, lambda: back(None))
-        elif not self.store.serves(member) and left <= 0.0:
-            back(None)
-        elif news or left <= 0.0:
-            back(WatchResult(Version(self.store.revision), news))
-        else:
-            pause = min(0.05, max(0.01, left))
-            self.clock.after(pause, lambda: self.watch(member, effect, back, left - pause))
-
-    # Workers
-
-    def deliver_check_in(
-        self, worker: str, member: str, report: Heartbeat, answered: Callable[[Any], None]
-    ) -> None:
-        def answer(result: Any) -> None:
-            orders = result if isinstance(result, HeartbeatResponse) else None
-            self.network.send(member, worker, lambda: answered(orders))
-
-        if worker in self.mute:
-            self.clock.after(0.5, lambda: answered(None))
-            return
-        if self.rng.random() < self.copies:
-            # The copy may come to another controller, and to one of a later term.
-            other = self.rng.choice(MEMBERS)
-            late = self.rng.choice((0.5, 3.0, 12.0, 40.0))
-            self.clock.after(late, lambda: self.hear_report(other, report, void))
-        if not self.network.send(worker, member, lambda: self.hear_report(member, report, answer)):
-            self.clock.after(0.01, lambda: answered(None))
-
-    def hear_report(self, member: str, report: Heartbeat, answer: Callable[[Any], None]) -> None:
-        process = self.processes[member]
-        if process is None:
-            return
-        leader = process.controller.election.leader
-        if process.controller.leader is not None:
-            self.ask(member, lambda n: HeartbeatReceived(n, report), answer)
-        elif leader is None or leader == member:
-            answer(None)
-        else:
-            self.relay(member, leader, report, answer)
-
-    def relay(
-        self, member: str, leader: str, report: Heartbeat, answer: Callable[[Any], None]
-    ) -> None:
-        sent = self.clock.now
-
-        def returned(result: Any) -> None:
-            if self.clock.now - sent < 2.5:
-                answer(result)
-
-        self.network.send(
-            member,
-            leader,
-            lambda: self.ask(
-                leader,
-                lambda n: HeartbeatReceived(n, report, relayed=True),
-                lambda result: void(self.network.send(leader, member, lambda: returned(result))),
-            ),
-        )
-
-    def direct(self, member: str, call: DirectCommand, back: Callable[..., None]) -> None:
-        state = {"open": True}
-
-        def close(report: Heartbeat | None, perhaps: bool) -> None:
-            if state["open"]:
-                state["open"] = False
-                back(report, perhaps)
-
-        def execute() -> None:
-            self.execute_direct(member, call, lambda report: close(report, True))
-
-        if self.copies and self.rng.random() < self.copies:
-            # Carried out, and repeated later.
-            self.clock.after(self.rng.choice((0.5, 3.0, 12.0, 40.0)), execute)
-        if self.rng.random() < self.flaky:
-            # Held up on the way: executed late, and so perhaps after other orders.
-            self.clock.after(self.rng.choice((0.5, 6.0, 40.0)), execute)
-        elif call.address in self.no_direct:
-            self.clock.after(0.8, lambda: close(None, self.rng.random() < 0.5))
-        elif not self.network.send(member, call.address, execute):
-            self.clock.after(0.01, lambda: close(None, False))
-        self.clock.after(2.0, lambda: close(None, True))
-
-    def execute_direct(
-        self, member: str, call: DirectCommand, answer: Callable[[Heartbeat], None]
-    ) -> None:
-        """The worker does what it is told, now or when it wakes; its answer may be lost."""
-        worker = self.workers.get(call.address)
-        if worker is None or worker.gone or not worker.up:
-            return
-
-        def act() -> None:
-            report = worker.direct(call)
-            if self.rng.random() >= self.flaky:
-                self.network.send(call.address, member, lambda: answer(report))
-
-        worker.when_awake(act)
-
     # The end of all troubles
 
     def heal(self) -> None:
