--- a/src/crosscleat/core/control/controller.py
+++ b/src/crosscleat/core/control/controller.py
@@ -147,7 +147,7 @@
         self.users.cancel(cancellation.request, cancellation.ref)
 
     def _progress_received(self, received: ProgressReceived) -> None:
-        self.users.progress.update(received.counts)
+        self.users.update_progress(received.counts)
 
     def _shard_requested(self, request: ShardRequested) -> None:
         proposal = plan(request.view, self.deployment, self._types, self._rng, self._now)
@@ -177,7 +177,7 @@
             self._progress_at = Seconds(now + PROGRESS_S)
             counts = self.leader.progress()
             if counts:
-                self.users.progress.update(counts)
+                self.users.update_progress(counts)
                 self._outbox.add(BroadcastProgress(counts))
 
     # Machine types
--- a/src/crosscleat/core/state/job_records.py
+++ b/src/crosscleat/core/state/job_records.py
@@ -21,6 +21,29 @@
     return msgspec.convert(record["spec"], JobSpec)
 
 
+def submitted_at(record: Record) -> WallTime:
+    """When the job of this live record was submitted."""
+    return WallTime(record["at"])
+
+
+def is_cancelled(record: Record) -> bool:
+    """Whether the job of this live record was cancelled by its user."""
+    cancelled: bool = record["aborted"]
+    return cancelled
+
+
+class JobOutcome(msgspec.Struct, frozen=True):
+    """How a job ended: with all its tasks done, or cancelled."""
+
+    tasks: int
+    cancelled: bool
+
+
+def outcome_of(record: Record) -> JobOutcome:
+    """The job's end as its ended record describes it."""
+    return JobOutcome(record["tasks"], record["aborted"])
+
+
 def ended_record(tasks: int, cancelled: bool) -> Record:
     """What is stored of a job's outcome, for good."""
     return {"tasks": tasks, "aborted": cancelled}
--- a/tests/test_encoded_jobs.py
+++ b/tests/test_encoded_jobs.py
@@ -140,7 +140,7 @@
 @pytest.mark.parametrize(("cancelled", "progress", "body"), LIVE_ANSWERS)
 def test_a_live_job_is_answered(cancelled: bool, progress: tuple[int, int], body: Any) -> None:
     requests, out = user_requests()
-    requests.progress["job-000412"] = progress
+    requests.update_progress({"job-000412": progress})
     requests.query(1, REF)
     scan = only(out, Scan)
     assert scan.prefix == "live/"
