--- a/src/crosscleat/core/capacity/machines.py
+++ b/src/crosscleat/core/capacity/machines.py
@@ -15,6 +15,7 @@
 from ..state.cluster import ClusterState
 from ..state.decommission_records import DecommissionRecords
 from ..state.machine import NOWHERE, UNKNOWN_TYPE, Machine
+from .decommissioning import Decommissioner
 from .fleet import Fleet
 from .interruptions import InterruptionStats
 from .pools import PoolKey
@@ -69,11 +70,8 @@
         """The machine was deleted for its silence."""
 
 
-class MachineWork(Protocol):
-    """Takes note of work that machines cause (`control.pending_work.PendingWork`)."""
-
-    def write_soon(self) -> None:
-        """A decommission is to be recorded with the next transaction."""
+class HeartbeatRequests(Protocol):
+    """Takes requests for heartbeats (`control.pending_work.PendingWork`)."""
 
     def queue_heartbeat_requests(self, machines: Iterable[Machine]) -> None:
         """Ask these machines for a heartbeat, in this order."""
@@ -90,7 +88,9 @@
         interruptions: InterruptionStats,
         decommission_records: DecommissionRecords,
         attempt_ended: Callable[[Machine, Allocation], None],
-        pending: MachineWork,
+        liveness: SilenceJudge,
+        decommissioner: Decommissioner,
+        heartbeat_requests: HeartbeatRequests,
     ) -> None:
         """`attempt_ended`: an attempt on a machine is proven to have ended."""
         self._term = term
@@ -99,7 +99,9 @@
         self._interruptions = interruptions
         self._decommission_records = decommission_records
         self._attempt_ended = attempt_ended
-        self._pending = pending
+        self._liveness = liveness
+        self._decommissioner = decommissioner
+        self._heartbeat_requests = heartbeat_requests
         self._deleted_names: deque[tuple[Seconds, MachineId]] = deque()
         """Machines that are deleted but still named in the store, and since when."""
         self._listing = False
@@ -187,7 +189,7 @@
         known = (entry for entry in entries if entry.id not in self.tombstones)
         unheard = [machine for entry in known if (machine := self._take_in(entry, now))]
         # First those with the most room: work may wait for it.
-        self._pending.queue_heartbeat_requests(
+        self._heartbeat_requests.queue_heartbeat_requests(
             sorted(unheard, key=lambda machine: machine.used_cpus)
         )
 
@@ -204,12 +206,12 @@
         machine.address = machine.address or entry.address
         machine.created_at = min(machine.created_at, Seconds(now - entry.age_s))
         if entry.state == "failed":
-            self.decommission(machine, "failed")
+            self._decommissioner.decommission(machine, "failed")
         return machine if machine.listed_running and not machine.up else None
 
     def _decommission_missing(self, named: set[MachineId], now: Seconds) -> None:
         """What was listed stays listed until it is gone; a list may only be older than another."""
-        quiet_s = self.liveness.quiet_s
+        quiet_s = self._liveness.quiet_s
         for machine in self._cluster.machines.values():
             if (
                 machine.listed
@@ -217,13 +219,10 @@
                 and now - machine.created_at > LISTED_BY_S
                 and now - machine.last_heard > quiet_s
             ):
-                self.decommission(machine, "no longer listed")
+                self._decommissioner.decommission(machine, "no longer listed")
 
     # Watching them
 
-    liveness: SilenceJudge
-    """Set by the leader, once both exist."""
-
     def usable(self, machine: Machine, now: Seconds) -> bool:
         """Whether tasks may be placed on it."""
         return (
@@ -248,10 +247,10 @@
             machine.idle_since = now
         reason = None if machine.decommissioning else self._why_return(machine, now)
         if reason is not None:
-            self.decommission(machine, reason)
+            self._decommissioner.decommission(machine, reason)
 
     def _why_return(self, machine: Machine, now: Seconds) -> str | None:
-        if machine.booted and self.liveness.silent(machine, now):
+        if machine.booted and self._liveness.silent(machine, now):
             machine.deleted_for_silence = True
             return f"silent for {now - machine.last_heard:.0f} s"
         if machine.up:
@@ -260,13 +259,13 @@
             # Running, and not heard of in this term: it may be cut off from us.
             return None
         if machine.type is UNKNOWN_TYPE:
-            known_by = machine.created_at + self.liveness.silent_s + LIST_WAIT_S
+            known_by = machine.created_at + self._liveness.silent_s + LIST_WAIT_S
             return "only on record, neither listed nor heard" if now > known_by else None
         return "never came up" if now > self._up_by(machine) else None
 
     def _up_by(self, machine: Machine) -> float:
         booted = machine.created_at + BOOT_TIMES * machine.type.boot_s + BOOT_EXTRA_S
-        return max(booted, self._term.began + self.liveness.silent_s)
+        return max(booted, self._term.began + self._liveness.silent_s)
 
     def _end_lease(self, machine: Machine, now: Seconds) -> None:
         lease_s = self._term.deployment.lease_s * DRIFT + LEASE_SLACK_S
@@ -276,13 +275,6 @@
 
     # Returning them
 
-    def decommission(self, machine: Machine, reason: str) -> None:
-        """Decide to delete it: recorded first, then final."""
-        if not machine.decommissioning:
-            machine.decommissioning = True
-            self._pending.write_soon()
-            self._term.outbox.log("info", f"machine {machine.id}: returned ({reason})")
-
     def delete_recorded(self, now: Seconds) -> None:
         """Delete those whose deletion is on record."""
         ready = [
@@ -310,7 +302,7 @@
             for allocation in list(machine.allocations.values()):
                 self._attempt_ended(machine, allocation)
             if machine.deleted_for_silence:
-                self.liveness.given_up(machine, now)
+                self._liveness.given_up(machine, now)
                 if machine.spot:
                     self._interruptions.taken()
             self._cluster.machines.pop(machine.id, None)
--- a/src/crosscleat/core/capacity/scaling.py
+++ b/src/crosscleat/core/capacity/scaling.py
@@ -12,6 +12,7 @@
 from ..state.jobs import Job
 from ..state.machine import Machine
 from .budget import Budget
+from .decommissioning import Decommissioner
 from .fleet import Fleet, ScaleOutRequest
 from .interruptions import InterruptionStats
 from .pools import PoolKey
@@ -40,10 +41,10 @@
         scorer: Scorer,
         interruptions: InterruptionStats,
         enter_rented: Callable[[PoolKey, MachineId], None],
-        decommission: Callable[[Machine, str], None],
+        decommissioner: Decommissioner,
         release: Callable[[Machine], None],
     ) -> None:
-        """`drop`: return it; `release`: stop what is on it, then return it."""
+        """`release`: stop what is on it, then return it."""
         self._term = term
         self._jobs = jobs
         self._cluster = cluster
@@ -51,7 +52,7 @@
         self._scorer = scorer
         self._interruptions = interruptions
         self._enter_rented = enter_rented
-        self._decommission = decommission
+        self._decommissioner = decommissioner
         self._release = release
         self._budget: Budget | None = None
         self._under_way = False
@@ -93,7 +94,7 @@
             if machine.allocations:
                 self._release(machine)
             else:
-                self._decommission(machine, "idle")
+                self._decommissioner.decommission(machine, "idle")
 
     def _judge_risks(self, now: Seconds) -> None:
         """Once a second, whose tasks had better not be lost; which may change with their age."""
--- a/src/crosscleat/core/control/leader.py
+++ b/src/crosscleat/core/control/leader.py
@@ -10,6 +10,7 @@
 from collections.abc import Iterable
 from random import Random
 
+from ..capacity.decommissioning import Decommissioner
 from ..capacity.fleet import Fleet
 from ..capacity.interruptions import InterruptionStats
 from ..capacity.machines import Machines
@@ -136,6 +137,8 @@
             self._live_reread,
             self._end_recorded,
         )
+        self.decommissioner = Decommissioner(self.term, self.pending)
+        self.liveness = Liveness(deployment, self.cluster, election, self.decommissioner, now)
         self.machines = Machines(
             self.term,
             self.cluster,
@@ -145,18 +148,10 @@
             lambda machine, allocation: self.attempt_ended(
                 machine, allocation, self.term.now, None
             ),
+            self.liveness,
+            self.decommissioner,
             self.pending,
         )
-        self.liveness = Liveness(
-            deployment,
-            self.cluster,
-            election,
-            self.machines.decommission,
-            self.commands.request_heartbeat,
-            self.commands.ask,
-            now,
-        )
-        self.machines.liveness = self.liveness
         self.gangs = GangControl(
             self.term,
             self.jobs,
@@ -191,7 +186,7 @@
             self.scorer,
             self.interruptions,
             self.machines.enter_rented,
-            self.machines.decommission,
+            self.decommissioner,
             self._release,
         )
         self._full_cycle_at = now
@@ -395,7 +390,7 @@
         for key, allocation in list(machine.allocations.items()):
             self._compare(machine, allocation, listed.get(key), now)
         if receive_heartbeat and machine.confirmed and self._restarted(machine, heartbeat):
-            self.machines.decommission(machine, "it has begun anew")
+            self.decommissioner.decommission(machine, "its agent epochs start again")
         # Last: what is withdrawn and not listed counts as gone, so the list must be this report's.
         if heartbeat.notice_s is not None and machine.reclaim_at is None:
             machine.reclaim_at = Seconds(now + heartbeat.notice_s)
@@ -647,7 +642,7 @@
     def watch_machines(self, now: Seconds) -> None:
         """Whom to ask after, to free or to return."""
         machines = list(self.cluster.machines.values())
-        self.liveness.watch(machines, now)
+        self.liveness.watch(machines, now, self.commands)
         if self.term.retired:
             return
         for machine in machines:
--- a/src/crosscleat/core/control/liveness.py
+++ b/src/crosscleat/core/control/liveness.py
@@ -8,8 +8,9 @@
 
 import heapq
 from collections import Counter
-from collections.abc import Callable
+from typing import Protocol
 
+from ..capacity.decommissioning import Decommissioner
 from ..election.election import Election
 from ..model.deployment import Deployment
 from ..model.heartbeats import Heartbeat
@@ -48,6 +49,16 @@
 """How long a leader that workers don't hear leaves the lead to others."""
 
 
+class Prober(Protocol):
+    """Asks workers for heartbeats (`control.commands.Commands`)."""
+
+    def request_heartbeat(self, machine: Machine) -> None:
+        """Ask the worker directly."""
+
+    def ask(self, machine: Machine) -> None:
+        """Ask the worker directly and through the other controllers."""
+
+
 class Liveness:
     """Counts who is silent or deaf, and asks after them."""
 
@@ -56,17 +67,13 @@
         deployment: Deployment,
         cluster: ClusterState,
         election: Election,
-        decommission: Callable[[Machine, str], None],
-        request_heartbeat: Callable[[Machine], None],
-        ask: Callable[[Machine], None],
+        decommissioner: Decommissioner,
         now: Seconds,
     ) -> None:
         self._deployment = deployment
         self._cluster = cluster
         self._election = election
-        self._decommission = decommission
-        self._request_heartbeat = request_heartbeat
-        self._ask = ask
+        self._decommissioner = decommissioner
         self.silent_s = deployment.tuning.silence_leases * deployment.lease_s
         self.quiet_s = 1.5 * deployment.heartbeat_interval_s + 1.0
         """A machine that was not heard for so long has missed a report."""
@@ -123,7 +130,9 @@
             if answered and machine.confirmed:
                 self._lost_leases.append(now)
                 if not self._many(len(self._lost_leases)):
-                    self._decommission(machine, "its lease ran out though we answered")
+                    self._decommissioner.decommission(
+                        machine, "its lease ran out though we answered"
+                    )
             return
         listed = {(task.task, task.attempt) for task in heartbeat.tasks}
         missed = any(
@@ -137,7 +146,7 @@
         elif now - machine.unresponsive_since > self.silent_s and not self._many(
             self._unresponsive
         ):
-            self._decommission(machine, "takes up no orders")
+            self._decommissioner.decommission(machine, "takes up no orders")
 
     def _many(self, count: int) -> bool:
         """So many at once can't all be at fault: we are, or the network."""
@@ -162,7 +171,7 @@
         self._silent_ticks += 1
         self._lonely_ticks += 1
 
-    def watch(self, machines: list[Machine], now: Seconds) -> None:
+    def watch(self, machines: list[Machine], now: Seconds, prober: Prober) -> None:
         """Count who is silent or deaf, ask after them, and resign if it is our own fault."""
         # Those given up for their silence still count: else each that is given up would make
         # the rest look like fewer, and a leader that is cut off would give up one after another.
@@ -212,8 +221,8 @@
             # All of them may have been with a controller that ended, and take some seconds to
             # find another one: if they answer us, they will.
             for machine in heapq.nlargest(MAX_PROBES, up, key=lambda m: m.last_heard):
-                self._request_heartbeat(machine)
-        self._probe(machines, now)
+                prober.request_heartbeat(machine)
+        self._probe(machines, now, prober)
 
     def _unheard_s(self, up: int) -> float:
         """A silence of all machines in which so many reports are missing that we are at fault."""
@@ -228,7 +237,7 @@
             and now - self._reached_at > self._deployment.heartbeat_interval_s + CUT_OFF_S
         )
 
-    def _probe(self, machines: list[Machine], now: Seconds) -> None:
+    def _probe(self, machines: list[Machine], now: Seconds, prober: Prober) -> None:
         """Ask after machines that went silent: they may be between two controllers, or cut off
         from us alone, and nothing but their silence speaks for their end."""
         asked = 0
@@ -243,4 +252,4 @@
             ):
                 asked += 1
                 machine.probed_at = now
-                self._ask(machine)
+                prober.ask(machine)
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -84,7 +84,7 @@
     term = Term()
     term.hear((1, 1))
     machine = term.leader.cluster.machines[MachineId("m-0")]
-    term.leader.machines.decommission(machine, "test")
+    term.leader.decommissioner.decommission(machine, "test")
     for recorded in (False, True):
         machine.decommission_recorded = recorded
         term.step(0.1)
--- a/tests/test_unresponsive_workers.py
+++ b/tests/test_unresponsive_workers.py
@@ -45,7 +45,7 @@
     term = Term()
     term.hear((1, 40))
     machine = term.leader.cluster.machines[MachineId("m-0")]
-    term.leader.machines.decommission(machine, "test")
+    term.leader.decommissioner.decommission(machine, "test")
     machine.decommission_recorded = True
     term.leader.tick(term.now)
     (delete,) = [e for e in term.out.take() if isinstance(e, DeleteMachines)]
