--- a/src/crosscleat/core/control/writer.py
+++ b/src/crosscleat/core/control/writer.py
@@ -1,8 +1,8 @@
 """The leader's transactions: what is written when, and what follows from each answer.
 
-Writes go out one transaction at a time, so that the versions they compare are known and a
-transaction without an answer is settled before the next: it is repeated until it is
-answered, and a conflict that could stem from our own earlier try ends this leadership.
+Writes go out one transaction at a time, so that the versions they compare are known. One without
+an answer may or may not have been carried out: it is repeated until it is answered, before anything
+else is written, and a conflict that could stem from our own earlier try ends the term.
 """
 
 from __future__ import annotations
@@ -21,26 +21,26 @@
 from ..state.placement_records import PlacementRecord, PlacementRecords
 from .pending_work import PendingWork
 
-LAZY_S = 0.8
-"""How often what only spares a successor some work is written."""
+DEFERRED_WRITES_S = 0.8
+"""How often records are written that only spare a later leader some work."""
 
-LAZY_WRITES = 4
-"""So many such writes at a time."""
+MAX_DEFERRED_WRITES = 4
+"""Of those in one transaction."""
 
-ENDS_WRITES = 6
-"""Writes that say which jobs have ended, at a time."""
+MAX_END_WRITES = 6
+"""Writes that record the ends of jobs, in one transaction."""
 
 MAX_DECOMMISSIONS = 100
-"""Machines whose deletion one transaction records."""
+"""Machines whose decommission one transaction records."""
 
-ROTATE_S = 3.0
-"""Least time between two new tokens."""
+MIN_ROTATION_S = 3.0
+"""Least time between two rotations of the fencing token."""
 
 Result = Committed | Conflict | NoSuchLease | None
 
 
 class Writer:
-    """Writes the records of jobs, placements and deletions."""
+    """Writes the records of jobs, placements and decommissions."""
 
     def __init__(
         self,
@@ -55,9 +55,12 @@
         reread: Callable[[Item], None],
         ended: Callable[[Job], None],
     ) -> None:
-        """`recorded`: the places of these tasks are on record; `void`: places of a job that are
-        not on record never will be; `reread`: a live record as it is now; `ended`: the job's end
-        is on record."""
+        """What follows from a transaction is the leader's to do.
+
+        `recorded`: the placements of the tasks with these numbers are on record, so they may be
+        started; `void`: placements of this job that are not on record never will be; `reread`: a
+        job's live record as it is now; `ended`: the job's end is on record.
+        """
         self._term = term
         self._jobs = jobs
         self._cluster = cluster
@@ -69,11 +72,11 @@
         self._reread_item = reread
         self._ended = ended
         self._obsolete: deque[tuple[str, Version]] = deque()
-        """Records that say nothing any more, to be removed."""
-        self._lazy_at = term.now
+        """Keys and versions of records without content, to be removed."""
+        self._deferred_written_at = term.now
         self._rotated_at = term.now
         self.writing = False
-        """A transaction is under way."""
+        """A transaction is in flight."""
 
     def remove(self, obsolete: Iterable[tuple[str, Version]]) -> None:
         """Remove these records, a few at a time."""
@@ -86,55 +89,46 @@
             return
         if (
             self._pending.rotation_wanted
-            and now - self._rotated_at > ROTATE_S
+            and now - self._rotated_at > MIN_ROTATION_S
             and self._rotate(now)
         ):
             self._pending.rotation_wanted = False
             return
-        lazy = now - self._lazy_at >= LAZY_S
-        if not lazy and not self._pending.unwritten:
+        with_deferred = now - self._deferred_written_at >= DEFERRED_WRITES_S
+        if not with_deferred and not self._pending.unwritten:
             return
         self._pending.unwritten = False
         batch = self._urgent_batch(token, now)
-        if lazy:
-            self._lazy_at = now
-            self._add_lazy(batch)
+        if with_deferred:
+            self._deferred_written_at = now
+            self._add_deferred(batch)
         if batch.writes:
             self._write(batch)
 
     def _urgent_batch(self, token: Token, now: Seconds) -> Batch:
-        """The region's few writes a second go to starts first, then to deletions and to ends,
-        which users poll for."""
+        """Starts, decommissions and ends of jobs, which users poll for, in this order.
+
+        The store admits few writes a second, so what does not fit waits for the next transaction.
+        """
         batch = Batch(token, self._term.deployment.txn_ops)
         for record in self._placement_records.urgent(now):
             batch.record(record)
         self._add_decommissions(batch)
-        batch.limit(ENDS_WRITES)
+        batch.limit(MAX_END_WRITES)
         for job in self._pending.ending.values():
             if not job.needs_reread and batch.room(2, 1):
                 batch.end(job)
         return batch
 
-    def _add_lazy(self, batch: Batch) -> None:
-        """What only spares a successor some work, a little at a time."""
-        batch.limit(LAZY_WRITES)
+    def _add_deferred(self, batch: Batch) -> None:
+        """Add a few records that only spare a later leader some work."""
+        batch.limit(MAX_DEFERRED_WRITES)
         for record in self._placement_records.lazy():
-            self._add_lazily(batch, record)
+            self._add_deferred_record(batch, record)
         while self._obsolete and batch.room(1, 1):
             batch.remove(*self._obsolete.popleft())
 
-    def _add_decommissions(self, batch: Batch) -> None:
-        machines = self._cluster.machines.values()
-        found = [m for m in machines if m.decommissioning and not m.decommission_recorded]
-        if found and batch.room(1, 1):
-            batch.decommission_record, room = self._decommission_records.open()
-            batch.decommissioned = found[: min(room, MAX_DECOMMISSIONS)]
-            batch.put(
-                batch.decommission_record.put(m.id for m in batch.decommissioned),
-                batch.decommission_record.version,
-            )
-
-    def _add_lazily(self, batch: Batch, record: PlacementRecord) -> None:
+    def _add_deferred_record(self, batch: Batch, record: PlacementRecord) -> None:
         if record.members:
             batch.record(record)
         elif not record.version:
@@ -144,6 +138,21 @@
             batch.closing.append(record)
             batch.remove(record.key, record.version)
 
+    def _add_decommissions(self, batch: Batch) -> None:
+        machines = self._cluster.machines.values()
+        unrecorded = [
+            machine
+            for machine in machines
+            if machine.decommissioning and not machine.decommission_recorded
+        ]
+        if unrecorded and batch.room(1, 1):
+            batch.decommission_record, room = self._decommission_records.open()
+            batch.decommissioned = unrecorded[: min(room, MAX_DECOMMISSIONS)]
+            batch.put(
+                batch.decommission_record.put(machine.id for machine in batch.decommissioned),
+                batch.decommission_record.version,
+            )
+
     def _write(self, batch: Batch) -> None:
         self.writing = True
         self._term.outbox.add(
@@ -158,36 +167,43 @@
         if self._term.retired:
             return
         if result is None:
-            # Perhaps carried out, perhaps later: nothing else is written until that is known.
+            # It may have been carried out, or may be later: nothing else is written before that is
+            # known.
             self._write(batch)
             return
         self.writing = False
         self._pending.unwritten = True
         if isinstance(result, Committed):
             self._committed(batch, result.revision)
-        elif isinstance(result, Conflict) and self._only_live(batch, result):
-            self._put_back(batch, result.failed)
+        elif isinstance(result, Conflict) and self._only_users_changes(batch, result):
+            self._void_cancelled(batch, result.failed)
         else:
-            self._term.election.resign("a write of ours met other versions than we know")
+            self._term.election.resign("a transaction found other versions than the leader knows")
 
-    def _only_live(self, batch: Batch, conflict: Conflict) -> bool:
-        lives = {live_key(job.ref) for job in batch.jobs}
-        return not conflict.repeated and bool(conflict.failed) and conflict.failed <= lives
+    def _only_users_changes(self, batch: Batch, conflict: Conflict) -> bool:
+        """Whether nothing but live records have changed, which users change by cancelling."""
+        live_keys = {live_key(job.ref) for job in batch.jobs}
+        return not conflict.repeated and bool(conflict.failed) and conflict.failed <= live_keys
 
     def _committed(self, batch: Batch, revision: Version) -> None:
+        """Take in the new versions, and tell the leader what is on record now."""
         for machine in batch.decommissioned:
             machine.decommission_recorded = True
         if batch.decommission_record is not None:
             batch.decommission_record.version = revision
-            batch.decommission_record.names.update((m.id, None) for m in batch.decommissioned)
+            batch.decommission_record.names.update(
+                (machine.id, None) for machine in batch.decommissioned
+            )
         for record in batch.records:
             record.version = revision
         for record in batch.closing:
             self._placement_records.removed(record)
         for job, chunk, recorded in batch.chunks:
-            fresh = recorded - chunk.recorded
+            added = recorded - chunk.recorded
             chunk.recorded = recorded
-            self._recorded(job, [found.number for found in fresh if job.is_current(*found)])
+            self._recorded(
+                job, [placement.number for placement in added if job.is_current(*placement)]
+            )
         self._placement_records.written((job, chunk) for job, chunk, _ in batch.chunks)
         for job in batch.ended:
             del self._pending.ending[job.ref]
@@ -195,8 +211,12 @@
             self._ended(job)
         self.remove(self._placement_records.superseded())
 
-    def _put_back(self, batch: Batch, failed: frozenset[str]) -> None:
-        """A user cancelled meanwhile: that job's placements were never sent, so they are void."""
+    def _void_cancelled(self, batch: Batch, failed: frozenset[str]) -> None:
+        """Users cancelled jobs of the batch, so nothing of it was written.
+
+        Starts are sent only once they are on record, so those jobs' new placements are void. The
+        other records of the batch are written again.
+        """
         for record in batch.closing:
             record.closing = False
         for job in batch.jobs:
@@ -213,16 +233,19 @@
             record.want(max(urgent, default=None), self._term.now)
 
     def _reread(self, job: Job) -> None:
-        def read(found: Found | None) -> None:
+        def live_read(found: Found | None) -> None:
             if found is not None and found.item is not None:
                 self._reread_item(found.item)
             elif not self._term.retired and self._jobs.get(job.ref) is job and job.needs_reread:
                 self._reread(job)
 
-        self._term.outbox.add(Read(live_key(job.ref), read))
+        self._term.outbox.add(Read(live_key(job.ref), live_read))
 
     def _rotate(self, now: Seconds) -> bool:
-        """Take a higher token, after which no direct message of before is executed."""
+        """Take a higher token, so that workers refuse all direct commands sent before.
+
+        Returns whether the transaction was sent.
+        """
         rotation = self._term.election.rotation()
         if rotation is None:
             return False
