--- a/tests/gangs.py
+++ b/tests/gangs.py
@@ -28,10 +28,7 @@
 from crosscleat.core.state.placement_records import PlacementRecords
 
 from .term import Term
-from .world import (
-    World,
-    job,
-)
+from .world import World, job
 
 seeds = pytest.mark.parametrize("seed", range(3))
 
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -1,6 +1,6 @@
 """Names, tags and positions on the wire, as literal samples.
 
-Python names may change, what is encoded may not. `tests/test_upgrade.py` holds what the version
+Python names may change, what is encoded may not. `tests/samples_394dfe6.py` holds what the version
 in production wrote; here is what it leaves out. In each sample the values of one type differ, so
 that two fields which change places are seen as well. The expected objects are built by keyword:
 a renamed field is renamed here too, and the samples stay as they are.
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -9,17 +9,7 @@
 from crosscleat.core.model.ids import Team, Zone
 from crosscleat.core.model.job_spec import Priority
 
-from .world import (
-    CANCEL_S,
-    LEASE_S,
-    MEMBERS,
-    REGION,
-    REPORT_S,
-    World,
-    job,
-    leader_of,
-    running,
-)
+from .world import CANCEL_S, LEASE_S, MEMBERS, REGION, REPORT_S, World, job, leader_of, running
 
 seeds = pytest.mark.parametrize("seed", range(3))
 
--- a/tests/test_gang_attempts.py
+++ b/tests/test_gang_attempts.py
@@ -5,14 +5,7 @@
 import pytest
 
 from crosscleat.core.model.effects import Response
-from crosscleat.core.model.ids import (
-    JobRef,
-    MachineId,
-    Seconds,
-    Team,
-    Token,
-    Version,
-)
+from crosscleat.core.model.ids import JobRef, MachineId, Seconds, Team, Token, Version
 from crosscleat.core.model.job_spec import Shape
 from crosscleat.core.model.worker_calls import DirectCommand, StartOrder, StopOrder
 from crosscleat.core.state.jobs import Job
@@ -20,9 +13,7 @@
 from .gangs import gang_term, on_record, reported, starts_for, taken_over
 from .term import TOKEN
 from .test_rounds import machine, plan, waiting
-from .world import (
-    job,
-)
+from .world import job
 
 
 def test_a_gang_one_of_whose_tasks_rests_is_not_tried_in_part() -> None:
--- a/tests/test_gang_notices.py
+++ b/tests/test_gang_notices.py
@@ -2,10 +2,7 @@
 
 from __future__ import annotations
 
-from crosscleat.core.model.ids import (
-    MachineId,
-    Seconds,
-)
+from crosscleat.core.model.ids import MachineId, Seconds
 
 from .gangs import notice, placed_on_two, places, reported, running_on_two, stops
 
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -7,13 +7,7 @@
 
 import pytest
 
-from crosscleat.core.model.ids import (
-    Image,
-    JobRef,
-    MachineId,
-    Seconds,
-    Team,
-)
+from crosscleat.core.model.ids import Image, JobRef, MachineId, Seconds, Team
 from crosscleat.core.model.job_spec import Priority, Shape
 from crosscleat.core.scheduling.cycle import SchedulingCycle
 from crosscleat.core.scheduling.free_capacity import Reservation
@@ -23,11 +17,7 @@
 from crosscleat.core.state.machine import Machine
 
 from .test_rounds import NOW, machine, plan, waiting
-from .world import (
-    GANG_WAIT_S,
-    TEAMS,
-    deployment,
-)
+from .world import GANG_WAIT_S, TEAMS, deployment
 
 
 def test_a_round_takes_the_zone_that_has_room_for_all() -> None:
--- a/tests/test_gang_progress.py
+++ b/tests/test_gang_progress.py
@@ -6,20 +6,14 @@
 import pytest
 
 from crosscleat.core.control.gang_control import allocations_of
-from crosscleat.core.model.ids import (
-    Attempt,
-    Seconds,
-)
+from crosscleat.core.model.ids import Attempt, Seconds
 from crosscleat.core.model.job_spec import Shape
 from crosscleat.core.scheduling.scoring import RunTimes, Scorer
 from crosscleat.core.state.gangs import GangProgress
 
 from .gangs import placed_on_two
 from .test_rounds import waiting
-from .world import (
-    deployment,
-    job,
-)
+from .world import deployment, job
 
 
 def test_progress_is_what_a_saved_exit_proves_or_the_last_checkpoint() -> None:
--- a/tests/test_gang_replacement.py
+++ b/tests/test_gang_replacement.py
@@ -6,18 +6,12 @@
 import pytest
 
 from crosscleat.core.control.gang_control import allocations_of
-from crosscleat.core.model.ids import (
-    MachineId,
-    Seconds,
-    Version,
-)
+from crosscleat.core.model.ids import MachineId, Seconds, Version
 from crosscleat.core.model.store_calls import Commit, Committed
 from crosscleat.core.model.worker_calls import DirectCommand, StartOrder
 
 from .gangs import placed_on_two, places, reported, taken_over
-from .world import (
-    GANG_WAIT_S,
-)
+from .world import GANG_WAIT_S
 
 
 def test_a_lost_task_of_a_waiting_gang_is_replaced_under_its_number() -> None:
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -8,22 +8,11 @@
 
 import pytest
 
-from crosscleat.core.model.ids import (
-    Team,
-)
+from crosscleat.core.model.ids import Team
 from crosscleat.core.model.job_spec import Shape
 
 from .gangs import done, seeds, with_gangs
-from .world import (
-    CANCEL_S,
-    GANG_WAIT_S,
-    LEASE_S,
-    MEMBERS,
-    World,
-    job,
-    leader_of,
-    running,
-)
+from .world import CANCEL_S, GANG_WAIT_S, LEASE_S, MEMBERS, World, job, leader_of, running
 
 
 @seeds
--- a/tests/test_isolated.py
+++ b/tests/test_isolated.py
@@ -11,17 +11,7 @@
 from crosscleat.core.state.keys import live_key
 from crosscleat.core.state.placement_records import PlacementRecords
 
-from .world import (
-    CANCEL_S,
-    LEASE_S,
-    MEMBERS,
-    REGION,
-    World,
-    at_work,
-    job,
-    leader_of,
-    running,
-)
+from .world import CANCEL_S, LEASE_S, MEMBERS, REGION, World, at_work, job, leader_of, running
 
 
 def isolate(world: World, leader: str) -> list[str]:
--- /dev/null
+++ b/tests/test_upgrade_coordination.py
@@ -0,0 +1,99 @@
+"""How a controller knows that all have changed to the new version."""
+
+from __future__ import annotations
+
+import pytest
+
+from crosscleat.core.election.upgrade import Upgrade
+from crosscleat.core.model.effects import Delay, Outbox, Response
+from crosscleat.core.model.ids import ABSENT, Member, Version, WallTime
+from crosscleat.core.model.job_spec import Shape
+from crosscleat.core.model.store_calls import (
+    Commit,
+    Committed,
+    Conflict,
+    Found,
+    Item,
+    Listing,
+    Read,
+    Scan,
+)
+
+from .test_user_requests import user_requests
+from .world import MEMBERS, job
+
+
+class Store:
+    """Answers the upgrade's calls at once, or not at all."""
+
+    def __init__(self) -> None:
+        self.keys: set[str] = set()
+        self.out = Outbox()
+        self.completed = 0
+        self.answers = True
+
+    def controller(self, member: str) -> Upgrade:
+        def completed() -> None:
+            self.completed += 1
+
+        return Upgrade(Member(member), tuple(map(Member, MEMBERS)), self.out, completed)
+
+    def run(self, steps: int = 20) -> None:
+        for _ in range(steps):
+            for effect in self.out.take():
+                if isinstance(effect, Delay):
+                    effect.continuation()
+                elif isinstance(effect, Commit):
+                    ((key, version),) = effect.conditions
+                    assert version == ABSENT and effect.writes[0].key == key
+                    new = key not in self.keys
+                    if self.answers:
+                        self.keys.add(key)
+                    done = Committed(Version(1)) if new else Conflict(frozenset((key,)), False)
+                    effect.continuation(done if self.answers else None)
+                elif isinstance(effect, Scan):
+                    items = [Item(key, {"version": 2}, Version(1)) for key in sorted(self.keys)]
+                    effect.continuation(Listing(items, Version(1)) if self.answers else None)
+
+
+def test_all_have_changed_once_each_has_put_its_key_and_that_outlives_restarts() -> None:
+    store = Store()
+    first = store.controller("c0")
+    first.begin()
+    store.answers = False
+    store.run()
+    store.answers = True
+    store.run()
+    assert store.keys == {"format/c0"} and not first.complete
+    # It ends and begins again: its key is there already.
+    again = store.controller("c0")
+    again.begin()
+    store.controller("c1").begin()
+    store.run()
+    assert not again.complete
+    store.controller("c2").begin()
+    store.run()
+    assert again.complete
+    late = store.controller("c1")
+    late.begin()
+    store.run()
+    assert late.complete
+
+
+@pytest.mark.parametrize("complete", [False, True])
+def test_an_ensemble_is_refused_at_once_until_all_have_changed(complete: bool) -> None:
+    requests, out = user_requests()
+    requests._all_know_gangs = lambda: complete
+    requests.submit(1, job("job-g", tasks=2, shape=Shape.GANG), WallTime(0.0))
+    effects = out.take()
+    if complete:
+        assert any(isinstance(effect, Commit) for effect in effects)
+        return
+    assert not any(isinstance(effect, Commit) for effect in effects)
+    # A repeat of one that was accepted is answered; what nobody knows is told when to come back.
+    (scan,) = [effect for effect in effects if isinstance(effect, Scan)]
+    scan.continuation(Listing([], Version(1)))
+    (read,) = [effect for effect in out.take() if isinstance(effect, Read)]
+    read.continuation(Found(None, Version(1)))
+    (answer,) = [effect for effect in out.take() if isinstance(effect, Response)]
+    assert answer.status == 503 and answer.retry_after_s == 1
--- a/tests/world/cloud.py
+++ b/tests/world/cloud.py
@@ -18,10 +18,7 @@
 )
 from crosscleat.core.model.ids import MachineId, Zone
 
-from .scenario import (
-    REGION,
-    TYPES,
-)
+from .scenario import REGION, TYPES
 from .worker import Worker
 
 if TYPE_CHECKING:
--- a/tests/world/effects.py
+++ b/tests/world/effects.py
@@ -24,15 +24,11 @@
     ShardProposed,
     ShardRequested,
 )
-from crosscleat.core.model.store_calls import (
-    RevokeLease,
-)
+from crosscleat.core.model.store_calls import RevokeLease
 from crosscleat.core.model.worker_calls import DirectCommand, HeartbeatResponse, IndirectProbe
 
 from .helpers import void
-from .scenario import (
-    MEMBERS,
-)
+from .scenario import MEMBERS
 
 if TYPE_CHECKING:
     from .world import Process, World
--- a/tests/world/gangs.py
+++ b/tests/world/gangs.py
@@ -7,11 +7,7 @@
 from crosscleat.core.model.ids import TaskId
 from crosscleat.core.model.job_spec import JobSpec, Shape
 
-from .scenario import (
-    GANG_PEER_S,
-    GANG_WAIT_S,
-    RuleBrokenError,
-)
+from .scenario import GANG_PEER_S, GANG_WAIT_S, RuleBrokenError
 from .worker import Task, Worker
 
 if TYPE_CHECKING:
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -7,12 +7,7 @@
 from crosscleat.core.model.ids import TaskId
 from crosscleat.core.model.job_spec import JobSpec
 
-from .scenario import (
-    CANCEL_S,
-    TEAMS,
-    WAITS_S,
-    RuleBrokenError,
-)
+from .scenario import CANCEL_S, TEAMS, WAITS_S, RuleBrokenError
 from .worker import Worker
 
 if TYPE_CHECKING:
--- a/tests/world/store_calls.py
+++ b/tests/world/store_calls.py
@@ -20,10 +20,7 @@
 )
 
 from .helpers import is_of_upgrade, void
-from .scenario import (
-    PATIENCE_S,
-    REGION,
-)
+from .scenario import PATIENCE_S, REGION
 
 if TYPE_CHECKING:
     from .world import World
--- a/tests/world/users.py
+++ b/tests/world/users.py
@@ -9,12 +9,7 @@
 from crosscleat.core.model.inputs import CancelJob, QueryJob, RejectJob, SubmitJob
 from crosscleat.core.model.job_spec import JobSpec
 
-from .scenario import (
-    MEMBERS,
-    SUBMITTER_WAITS_S,
-    USER_WAITS_S,
-    RuleBrokenError,
-)
+from .scenario import MEMBERS, SUBMITTER_WAITS_S, USER_WAITS_S, RuleBrokenError
 
 if TYPE_CHECKING:
     from .world import World
--- a/tests/world/worker_calls.py
+++ b/tests/world/worker_calls.py
@@ -6,15 +6,11 @@
 from typing import TYPE_CHECKING, Any
 
 from crosscleat.core.model.heartbeats import Heartbeat
-from crosscleat.core.model.inputs import (
-    HeartbeatReceived,
-)
+from crosscleat.core.model.inputs import HeartbeatReceived
 from crosscleat.core.model.worker_calls import DirectCommand, HeartbeatResponse
 
 from .helpers import void
-from .scenario import (
-    MEMBERS,
-)
+from .scenario import MEMBERS
 
 if TYPE_CHECKING:
     from .world import World
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -14,15 +14,9 @@
 from typing import Any
 
 from crosscleat.core.control.controller import Controller
-from crosscleat.core.model.effects import (
-    Effect,
-)
+from crosscleat.core.model.effects import Effect
 from crosscleat.core.model.ids import Member, Seconds, TaskId, Team, WallTime
-from crosscleat.core.model.inputs import (
-    PeerUnreachable,
-    Started,
-    Tick,
-)
+from crosscleat.core.model.inputs import PeerUnreachable, Started, Tick
 from crosscleat.core.model.job_spec import JobSpec
 
 from .clock import Clock
@@ -31,16 +25,7 @@
 from .gangs import Gangs
 from .network import Network
 from .rules import Rules
-from .scenario import (
-    HOMES,
-    LIMITS,
-    MEMBERS,
-    NEXT_LIMITS,
-    REGION,
-    TICK_S,
-    deployment,
-    job,
-)
+from .scenario import HOMES, LIMITS, MEMBERS, NEXT_LIMITS, REGION, TICK_S, deployment, job
 from .store import Store
 from .store_calls import StoreCalls
 from .users import Users
