--- a/src/crosscleat/core/capacity/machines.py
+++ b/src/crosscleat/core/capacity/machines.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from typing import Protocol
 
 from ..election.term import DRIFT, LeadingTerm
@@ -70,6 +70,13 @@
         """The machine was deleted for its silence."""
 
 
+class AttemptEnds(Protocol):
+    """Carries out what the end of an attempt means (`control.attempts.Attempts`)."""
+
+    def ended(self, machine: Machine, allocation: Allocation) -> None:
+        """The attempt is proven to have ended without a result."""
+
+
 class HeartbeatRequests(Protocol):
     """Takes requests for heartbeats (`control.pending_work.PendingWork`)."""
 
@@ -87,18 +94,17 @@
         fleet: Fleet,
         interruptions: InterruptionStats,
         decommission_records: DecommissionRecords,
-        attempt_ended: Callable[[Machine, Allocation], None],
+        attempts: AttemptEnds,
         liveness: SilenceJudge,
         decommissioner: Decommissioner,
         heartbeat_requests: HeartbeatRequests,
     ) -> None:
-        """`attempt_ended`: an attempt on a machine is proven to have ended."""
         self._term = term
         self._cluster = cluster
         self._fleet = fleet
         self._interruptions = interruptions
         self._decommission_records = decommission_records
-        self._attempt_ended = attempt_ended
+        self._attempts = attempts
         self._liveness = liveness
         self._decommissioner = decommissioner
         self._heartbeat_requests = heartbeat_requests
@@ -271,7 +277,7 @@
         lease_s = self._term.deployment.lease_s * DRIFT + LEASE_SLACK_S
         if machine.allocations and now > machine.last_answer + lease_s:
             for allocation in list(machine.allocations.values()):
-                self._attempt_ended(machine, allocation)
+                self._attempts.ended(machine, allocation)
 
     # Returning them
 
@@ -300,7 +306,7 @@
                 machine.delete_sent = Seconds(now - again_s)
                 continue
             for allocation in list(machine.allocations.values()):
-                self._attempt_ended(machine, allocation)
+                self._attempts.ended(machine, allocation)
             if machine.deleted_for_silence:
                 self._liveness.given_up(machine, now)
                 if machine.spot:
--- a/src/crosscleat/core/capacity/scaling.py
+++ b/src/crosscleat/core/capacity/scaling.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
+from typing import Protocol
 
 from ..election.term import LeadingTerm
 from ..model.cloud_calls import Rent, RentalOutcome, RentalUnanswered, Rented
@@ -15,7 +16,7 @@
 from .decommissioning import Decommissioner
 from .fleet import Fleet, ScaleOutRequest
 from .interruptions import InterruptionStats
-from .pools import PoolKey
+from .machines import Machines
 
 ADJUST_S = 1.0
 """How often the fleet is looked at; sooner after a rental was answered."""
@@ -29,6 +30,13 @@
 HEARD_REPORTS = 1.3
 
 
+class SurplusMachines(Protocol):
+    """Empties machines that are to be returned (`control.evacuation.Evacuation`)."""
+
+    def release_surplus(self, machine: Machine) -> None:
+        """Stop what runs on the machine, which is returned once it is empty."""
+
+
 class Autoscaler:
     """Rents for waiting work and the warm room, and returns what is idle."""
 
@@ -40,20 +48,19 @@
         fleet: Fleet,
         scorer: Scorer,
         interruptions: InterruptionStats,
-        enter_rented: Callable[[PoolKey, MachineId], None],
+        machines: Machines,
         decommissioner: Decommissioner,
-        release: Callable[[Machine], None],
+        surplus: SurplusMachines,
     ) -> None:
-        """`release`: stop what is on it, then return it."""
         self._term = term
         self._jobs = jobs
         self._cluster = cluster
         self._fleet = fleet
         self._scorer = scorer
         self._interruptions = interruptions
-        self._enter_rented = enter_rented
+        self._machines = machines
         self._decommissioner = decommissioner
-        self._release = release
+        self._surplus = surplus
         self._budget: Budget | None = None
         self._under_way = False
         self._number = 0
@@ -92,7 +99,7 @@
                 self.rent(wanted)
         for machine in self._fleet.scale_in_candidates(machines, self._term.deployment.teams, now):
             if machine.allocations:
-                self._release(machine)
+                self._surplus.release_surplus(machine)
             else:
                 self._decommissioner.decommission(machine, "idle")
 
@@ -180,7 +187,7 @@
             pool.refuse(now)
             return
         for machine in outcome.machines:
-            self._enter_rented(wanted.pool, MachineId(machine))
+            self._machines.enter_rented(wanted.pool, MachineId(machine))
         key = wanted.pool
         self._term.outbox.log("info", f"rented {len(outcome.machines)} of {key.type} in {key.zone}")
         if len(outcome.machines) < wanted.count:
--- /dev/null
+++ b/src/crosscleat/core/control/attempts.py
@@ -0,0 +1,114 @@
+"""How attempts are stopped, and what follows once one is proven to have ended.
+
+The two belong together: the end of a gang member stops the other members, and stopping an attempt
+whose start was never sent ends it at once.
+"""
+
+from __future__ import annotations
+
+from ..election.term import LeadingTerm
+from ..model import heartbeats
+from ..model.ids import JobRef
+from ..state.allocations import Allocation
+from ..state.cluster import ClusterState
+from ..state.gangs import may_replace
+from ..state.jobs import Job
+from ..state.machine import Machine
+from ..state.placement_records import PlacementRecords
+from .pending_work import PendingWork
+from .retries import Retries
+
+
+class Attempts:
+    """Stops attempts and carries out what the end of an attempt means for its task."""
+
+    def __init__(
+        self,
+        term: LeadingTerm,
+        jobs: dict[JobRef, Job],
+        cluster: ClusterState,
+        placement_records: PlacementRecords,
+        retries: Retries,
+        pending: PendingWork,
+    ) -> None:
+        self._term = term
+        self._jobs = jobs
+        self._cluster = cluster
+        self._placement_records = placement_records
+        self._retries = retries
+        self._pending = pending
+
+    def stop(self, machine: Machine, allocation: Allocation, grace_s: float) -> None:
+        """Stop the attempt, with `grace_s` to save its progress.
+
+        Its allocation stays until the attempt is proven to have ended.
+        """
+        allocation.stopping = True
+        allocation.grace_s = grace_s
+        self._pending.send_soon(machine.id)
+        if not allocation.listed and not machine.may_still_start(allocation):
+            self.ended(machine, allocation)
+
+    def preempt(self, machine: Machine, allocation: Allocation) -> None:
+        """Stop the attempt, with time to save its progress if it can."""
+        spec = allocation.spec
+        self.stop(machine, allocation, spec.save_s if spec.checkpoint_s > 0 else 0.0)
+
+    def stop_gang(self, job: Job, grace_s: float) -> None:
+        """Stop all members of a gang; they are placed again together once all have ended."""
+        self._pending.incomplete_gangs.pop(job.ref, None)
+        job.progress.stops(self._term.now)
+        to_stop = [
+            (machine, allocation)
+            for machine, allocation in self._cluster.allocations_of(job)
+            if not allocation.stopping
+        ]
+        for _, allocation in to_stop:
+            # Marked before any of them ends: the end of one must not stop the gang once more.
+            allocation.stopping = True
+        for machine, allocation in to_stop:
+            self.stop(machine, allocation, grace_s)
+
+    def ended(self, machine: Machine, allocation: Allocation, cause: str | None = None) -> None:
+        """The attempt is proven to have ended, with its exit's cause or, if None, no result."""
+        self._cluster.remove(machine, allocation)
+        self._pending.cycle_wanted = True
+        self._pending.write_soon()
+        job = self._jobs.get(allocation.task.job)
+        number = allocation.task.number
+        if job is None or not job.is_current(number, allocation.attempt, machine.id):
+            return
+        now = self._term.now
+        job.idle_since = now
+        self._placement_records.of(job, job.chunk_of(number)).want(None, now)
+        if cause == heartbeats.DONE or (job.gang and job.done_count):
+            self._finish(job, number)
+        elif job.cancelled:
+            job.requeue(number, None)
+            self._pending.record_end_if_over(job)
+        else:
+            if job.gang:
+                self._gang_member_lost(job, number, machine, cause)
+            job.requeue(number, self._retries.not_before(machine, job, number, cause))
+
+    def _finish(self, job: Job, number: int) -> None:
+        """The task is done.
+
+        The members of a gang complete together: once one is done, the others have ended with that
+        result too, or after it with their machine.
+        """
+        job.finish(number)
+        if job.gang:
+            job.finish_unplaced()
+        self._pending.record_end_if_over(job)
+
+    def _gang_member_lost(self, job: Job, number: int, machine: Machine, cause: str | None) -> None:
+        """A member ended without a result: it is to be replaced, or the whole gang is stopped.
+
+        There is no time to save: progress since the last checkpoint is lost, or saved already.
+        """
+        if may_replace(cause, self._cluster.allocations_of(job, except_number=number)):
+            job.progress.lost_on.add(machine.id)
+            self._pending.incomplete_gangs[job.ref] = job
+        elif job.progress.stopped_at is None:
+            self.stop_gang(job, 0.0)
--- /dev/null
+++ b/src/crosscleat/core/control/evacuation.py
@@ -0,0 +1,64 @@
+"""How a machine is emptied that the cloud will reclaim, or that is no longer needed."""
+
+from __future__ import annotations
+
+from ..capacity.interruptions import InterruptionStats
+from ..election.term import LeadingTerm
+from ..model.ids import Seconds
+from ..model.job_spec import Shape
+from ..scheduling.scoring import RunTimes
+from ..state.machine import Machine
+from .attempts import Attempts
+from .gang_control import GangControl
+
+IN_TIME_SHARE = 0.7
+"""An attempt that is estimated to end within this share of a notice is left to run."""
+
+SAVE_SHARE = 0.5
+"""An attempt saves its progress on a notice if that takes less than this share of it."""
+
+
+class Evacuation:
+    """Stops what runs on machines that are reclaimed or returned."""
+
+    def __init__(
+        self,
+        term: LeadingTerm,
+        run_times: RunTimes,
+        interruptions: InterruptionStats,
+        gangs: GangControl,
+        attempts: Attempts,
+    ) -> None:
+        self._term = term
+        self._run_times = run_times
+        self._interruptions = interruptions
+        self._gangs = gangs
+        self._attempts = attempts
+
+    def notice_received(self, machine: Machine, notice_s: float) -> None:
+        """The cloud reclaims the machine in `notice_s` seconds."""
+        machine.reclaim_at = Seconds(self._term.now + notice_s)
+        self._interruptions.taken()
+        self._evacuate(machine, notice_s)
+
+    def release_surplus(self, machine: Machine) -> None:
+        """Stop what runs on the machine, which is returned once the last attempt has ended."""
+        machine.surplus = True
+        self._term.outbox.log("info", f"machine {machine.id}: only backfill runs on it, draining")
+        for allocation in list(machine.allocations.values()):
+            self._attempts.preempt(machine, allocation)
+
+    def _evacuate(self, machine: Machine, notice_s: float) -> None:
+        """Stop what the notice leaves no time for, so that it starts elsewhere sooner."""
+        now = self._term.now
+        self._term.outbox.log("info", f"machine {machine.id}: reclaimed in {notice_s:.0f} s")
+        self._gangs.evacuate(machine, now)
+        for allocation in list(machine.allocations.values()):
+            spec = allocation.spec
+            if spec.shape is Shape.GANG:
+                continue
+            started = allocation.running_since if allocation.running_since is not None else now
+            if self._run_times.estimate(spec) - (now - started) < IN_TIME_SHARE * notice_s:
+                continue
+            saves = spec.checkpoint_s > 0 and spec.save_s < SAVE_SHARE * notice_s
+            self._attempts.stop(machine, allocation, spec.save_s if saves else 0.0)
--- a/src/crosscleat/core/control/leader.py
+++ b/src/crosscleat/core/control/leader.py
@@ -23,9 +23,7 @@
 from ..model.effects import Outbox, Response
 from ..model.heartbeats import Heartbeat, TaskStatus, unknown_words
 from ..model.ids import Attempt, JobRef, Seconds, TaskId, Token, TypeName, WallTime
-from ..model.job_spec import Shape
 from ..model.store_calls import Item
-from ..scheduling.free_capacity import fails_repeatedly
 from ..scheduling.scoring import RunTimes, Scorer
 from ..state.allocations import Allocation
 from ..state.cluster import ClusterState
@@ -34,45 +32,24 @@
 from ..state.jobs import Job
 from ..state.machine import Machine
 from ..state.placement_records import PlacementRecords
+from .attempts import Attempts
 from .commands import Commands
-from .gang_control import GangControl, allocations_of
+from .evacuation import Evacuation
+from .gang_control import GangControl
 from .liveness import UNBROKEN_LEASES, Liveness
 from .pending_work import PendingWork
+from .retries import Retries
 from .scheduler import Scheduler
 from .writer import Writer
 
 SLOW_START_S = 2.0
 """Starts later than that are logged."""
 
-QUARANTINE_JOBS = 2
-"""A machine on which so many jobs failed is taken for faulty."""
-
-AT_ONCE = (None, heartbeats.STOPPED, heartbeats.GANG_MEMBER_LOST, heartbeats.INCOMPLETE)
-"""Ends that say nothing against the task or its machine: it may be placed again at once."""
-
-FULL_PAUSE_S = 4.0
-"""For so long nothing is placed on a machine that refused a start for lack of room."""
-
-REFUSED_PAUSE_S = 0.3
-"""Before a task that was refused for lack of room is tried elsewhere."""
-
-ENDED_PAUSE_S = 2.0
-"""Before a task is tried again that ended in another way."""
-
-MAX_FAILED_PAUSE_S = 60.0
-"""The longest pause of a task that fails again and again."""
-
 FIRST_ATTEMPT = Attempt(1)
 
 MAX_UNKNOWN_WORDS = 100
 """Of reports' unknown states and causes so many are remembered and logged."""
 
-IN_TIME_SHARE = 0.7
-"""A run that is estimated to end within this part of a notice is let go on."""
-
-SAVE_SHARE = 0.5
-"""A task saves on a notice if that takes no more than this part of it."""
-
 MAX_COUNTS = 5_000
 """Jobs whose counts one message shows; others follow with the next."""
 
@@ -117,6 +94,14 @@
         self.fleet.types = types
         self.interruptions = InterruptionStats()
         self.pending = PendingWork()
+        self.attempts = Attempts(
+            self.term,
+            self.jobs,
+            self.cluster,
+            self.placement_records,
+            Retries(self.term, self.jobs),
+            self.pending,
+        )
         self.commands = Commands(
             self.term,
             self.jobs,
@@ -145,9 +130,7 @@
             self.fleet,
             self.interruptions,
             self.decommission_records,
-            lambda machine, allocation: self.attempt_ended(
-                machine, allocation, self.term.now, None
-            ),
+            self.attempts,
             self.liveness,
             self.decommissioner,
             self.pending,
@@ -157,9 +140,11 @@
             self.jobs,
             self.cluster,
             self.scorer,
-            self._stop_attempt,
-            lambda job, left_s: self.scheduler.places_to_complete(job, left_s),
-            lambda job, machine: self.scheduler.place(job, machine),
+            self.attempts,
+            self.pending,
+        )
+        self.evacuation = Evacuation(
+            self.term, self.run_times, self.interruptions, self.gangs, self.attempts
         )
         self.scheduler = Scheduler(
             self.term,
@@ -172,10 +157,7 @@
             self.gangs,
             self.placement_records,
             self.pending,
-            self._preempt,
-            lambda machine, allocation: self.attempt_ended(
-                machine, allocation, self.term.now, None
-            ),
+            self.attempts,
             rng,
         )
         self.autoscaler = Autoscaler(
@@ -185,9 +167,9 @@
             self.fleet,
             self.scorer,
             self.interruptions,
-            self.machines.enter_rented,
+            self.machines,
             self.decommissioner,
-            self._release,
+            self.evacuation,
         )
         self._full_cycle_at = now
         self._watch_at = now
@@ -277,31 +259,10 @@
             return
         job.cancelled = True
         self.pending.write_soon()
-        for machine, allocation in list(allocations_of(self.cluster, job)):
-            self._stop_attempt(machine, allocation, 0.0)
+        for machine, allocation in list(self.cluster.allocations_of(job)):
+            self.attempts.stop(machine, allocation, 0.0)
         self.pending.record_end_if_over(job)
 
-    def _stop_attempt(self, machine: Machine, allocation: Allocation, grace_s: float) -> None:
-        """Stop the attempt; its hold stays until it is proven gone."""
-        allocation.stopping = True
-        allocation.grace_s = grace_s
-        self.pending.send_soon(machine.id)
-        if not allocation.listed and not machine.may_still_start(allocation):
-            self.attempt_ended(machine, allocation, self.term.now, None)
-
-    def _preempt(self, machine: Machine, allocation: Allocation) -> None:
-        """Stop the attempt, with time to save its progress if it can."""
-        self._stop_attempt(
-            machine, allocation, allocation.spec.save_s if allocation.spec.checkpoint_s > 0 else 0.0
-        )
-
-    def _release(self, machine: Machine) -> None:
-        """Stop what is on the machine, which is returned when the last of it is gone."""
-        machine.surplus = True
-        self.outbox.log("info", f"machine {machine.id}: only backfill runs on it, draining")
-        for allocation in list(machine.allocations.values()):
-            self._preempt(machine, allocation)
-
     # Workers
 
     def receive_heartbeat(
@@ -384,7 +345,7 @@
             for allocation in self.cluster.allocations_before_epoch(
                 machine, heartbeat.heartbeat_id.agent_epoch
             ):
-                self.attempt_ended(machine, allocation, now, None)
+                self.attempts.ended(machine, allocation)
         listed = {(task.task, task.attempt): task for task in heartbeat.tasks}
         machine.update_task_list(listed)
         for key, allocation in list(machine.allocations.items()):
@@ -393,9 +354,7 @@
             self.decommissioner.decommission(machine, "its agent epochs start again")
         # Last: what is withdrawn and not listed counts as gone, so the list must be this report's.
         if heartbeat.notice_s is not None and machine.reclaim_at is None:
-            machine.reclaim_at = Seconds(now + heartbeat.notice_s)
-            self.interruptions.taken()
-            self._evacuate(machine, heartbeat.notice_s, now)
+            self.evacuation.notice_received(machine, heartbeat.notice_s)
 
     def _note_age(
         self, machine: Machine, heartbeat: Heartbeat, now: Seconds, receive_heartbeat: bool
@@ -442,7 +401,7 @@
         if task is None:
             allocation.listed = False
             if allocation.stopping and not machine.may_still_start(allocation):
-                self.attempt_ended(machine, allocation, now, None)
+                self.attempts.ended(machine, allocation)
             return
         allocation.listed = allocation.sent = True
         if task.state == heartbeats.EXITED:
@@ -485,7 +444,7 @@
         job = self.jobs.get(allocation.task.job)
         if job is not None and job.gang and task.saved:
             job.progress.end_attempt(job.spec, now, saved=True)
-        self.attempt_ended(machine, allocation, now, cause)
+        self.attempts.ended(machine, allocation, cause)
 
     def _learn_run_time(self, allocation: Allocation, now: Seconds) -> None:
         """Compare a completed run with its estimate, if it was a whole run that we saw begin.
@@ -500,86 +459,6 @@
             return
         self.run_times.learn(allocation.spec, now - allocation.running_since)
 
-    def attempt_ended(
-        self, machine: Machine, allocation: Allocation, now: Seconds, cause: str | None
-    ) -> None:
-        """The attempt is proven gone, by its exit's cause or, with None, without a result."""
-        self.cluster.remove(machine, allocation)
-        self.pending.cycle_wanted = True
-        self.pending.write_soon()
-        job = self.jobs.get(allocation.task.job)
-        number = allocation.task.number
-        if job is None or not job.is_current(number, allocation.attempt, machine.id):
-            return
-        job.idle_since = now
-        self.placement_records.of(job, job.chunk_of(number)).want(None, now)
-        if cause == heartbeats.DONE or (job.gang and job.done_count):
-            self._finish(job, number)
-        elif job.cancelled:
-            job.requeue(number, None)
-            self.pending.record_end_if_over(job)
-        else:
-            if job.gang:
-                self.gangs.lost(job, number, machine, cause)
-            job.requeue(number, self._not_before(machine, job, number, cause, now))
-
-    def _finish(self, job: Job, number: int) -> None:
-        """A gang's tasks complete together: of one of which a task is done, the others have
-        ended with that result too, or after it with their machine."""
-        job.finish(number)
-        if job.gang:
-            job.finish_unplaced()
-        self.pending.record_end_if_over(job)
-
-    def _not_before(
-        self, machine: Machine, job: Job, number: int, cause: str | None, now: Seconds
-    ) -> Seconds | None:
-        """When the task may be tried again; None: at once."""
-        if cause in AT_ONCE:
-            return None
-        pause_s = ENDED_PAUSE_S
-        if cause == heartbeats.ERROR:
-            pause_s = self._failed(machine, job, number)
-        elif cause == heartbeats.NO_ROOM:
-            machine.full_until = Seconds(now + FULL_PAUSE_S)
-            if job.gang:
-                # The others may wait for it.
-                return None
-            pause_s = REFUSED_PAUSE_S
-        return Seconds(now + pause_s)
-
-    def _failed(self, machine: Machine, job: Job, number: int) -> float:
-        """Count a failure against the task and its machine; how long the task is to rest."""
-        failures = job.failures.get(number, 0) + 1
-        job.failures[number] = failures
-        job.failed_on.add(machine.id)
-        machine.errors.add(job.ref)
-        if not machine.quarantined and self._blamed(machine):
-            machine.quarantined = True
-            self.outbox.log("info", f"machine {machine.id}: several jobs fail on it, draining")
-        if failures == 1 and job.succeeded:
-            return 0.0
-        return min(MAX_FAILED_PAUSE_S, 0.5 * 2.0**failures)
-
-    def _blamed(self, machine: Machine) -> bool:
-        """Whether several jobs failed on it, leaving out those that fail wherever they are."""
-        jobs = (self.jobs.get(JobRef(ref)) for ref in machine.errors)
-        return sum(1 for job in jobs if job and not fails_repeatedly(job)) >= QUARANTINE_JOBS
-
-    def _evacuate(self, machine: Machine, notice_s: float, now: Seconds) -> None:
-        """Stop what the notice leaves no time for, so that it starts elsewhere sooner."""
-        self.outbox.log("info", f"machine {machine.id}: to be taken back in {notice_s:.0f} s")
-        self.gangs.evacuate(machine, now)
-        for allocation in list(machine.allocations.values()):
-            spec = allocation.spec
-            if spec.shape is Shape.GANG:
-                continue
-            ran = now - (allocation.running_since if allocation.running_since is not None else now)
-            if self.run_times.estimate(spec) - ran < IN_TIME_SHARE * notice_s:
-                continue
-            saves = spec.checkpoint_s > 0 and spec.save_s < SAVE_SHARE * notice_s
-            self._stop_attempt(machine, allocation, spec.save_s if saves else 0.0)
-
     # What the writer tells
 
     def _on_record(self, job: Job, numbers: list[int]) -> None:
@@ -595,14 +474,14 @@
                 self.pending.send_soon(machine.id)
         if job.gang and numbers and job.whole:
             # Those recorded before waited for the last.
-            for machine, _ in allocations_of(self.cluster, job):
+            for machine, _ in self.cluster.allocations_of(job):
                 self.pending.send_soon(machine.id)
 
     def _void_unrecorded(self, job: Job) -> None:
         """The user cancelled the job: what was not on record was never sent, and is void."""
-        for machine, allocation in list(allocations_of(self.cluster, job)):
+        for machine, allocation in list(self.cluster.allocations_of(job)):
             if not allocation.recorded:
-                self.attempt_ended(machine, allocation, self.term.now, None)
+                self.attempts.ended(machine, allocation)
 
     def _live_reread(self, item: Item) -> None:
         self.apply_job_changes([item], self.term.now)
@@ -620,7 +499,7 @@
         for job in self.jobs.values():
             if job.resting:
                 job.wake(now)
-        if self.gangs.any_incomplete:
+        if self.pending.incomplete_gangs:
             self.pending.cycle_wanted = True
         self.liveness.tick()
         machines = len(self.cluster.machines)
--- a/src/crosscleat/core/control/pending_work.py
+++ b/src/crosscleat/core/control/pending_work.py
@@ -16,7 +16,7 @@
 
 
 class PendingWork:
-    """Marks set by any part; read and cleared by the scheduler, the writer and the commands."""
+    """Marks set by any part, and cleared by the part whose work it is."""
 
     def __init__(self) -> None:
         self.cycle_wanted = True
@@ -32,6 +32,9 @@
         self.heartbeat_requests: deque[Machine] = deque()
         """Machines to ask for a heartbeat, a few in each tick."""
 
+        self.incomplete_gangs: dict[JobRef, Job] = {}
+        """Gangs that may still wait for a lost member: decided in the next scheduling cycle."""
+
     def write_soon(self) -> None:
         """Something is to be written with the next transaction."""
         self.unwritten = True
--- a/src/crosscleat/core/control/scheduler.py
+++ b/src/crosscleat/core/control/scheduler.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from itertools import groupby
 from random import Random
 
@@ -22,7 +22,8 @@
 from ..state.jobs import Job
 from ..state.machine import Machine
 from ..state.placement_records import PlacementRecords
-from .gang_control import GangControl, allocations_of
+from .attempts import Attempts
+from .gang_control import GangControl
 from .pending_work import PendingWork
 
 PROMPT_MACHINES = 1_500
@@ -47,11 +48,9 @@
         gangs: GangControl,
         placement_records: PlacementRecords,
         pending: PendingWork,
-        stop: Callable[[Machine, Allocation], None],
-        attempt_ended: Callable[[Machine, Allocation], None],
+        attempts: Attempts,
         rng: Random,
     ) -> None:
-        """`stop`: an attempt is to make room; `gone`: it was never sent."""
         self._term = term
         self._jobs = jobs
         self._cluster = cluster
@@ -62,8 +61,7 @@
         self._gangs = gangs
         self._placement_records = placement_records
         self._pending = pending
-        self._stop = stop
-        self._attempt_ended = attempt_ended
+        self._attempts = attempts
         self._rng = rng
         self._shards = ShardDispatcher(term, cluster, rng)
         self._cycle_at = term.now
@@ -91,8 +89,7 @@
     def _run_cycle(self, now: Seconds) -> None:
         if not self._may_place(now):
             return
-        if self._gangs.any_incomplete:
-            self._gangs.complete(now)
+        self._gangs.complete(now, self)
         jobs = list(self._plannable())
         machines = self._usable(now)
         mine = [job for job in jobs if not self._shards.is_planned_elsewhere(job, now)]
@@ -125,7 +122,7 @@
         preemption = Preemption(self._cluster, teams, self._jobs, machines, self._rng, now)
         victims = preemption.choose(jobs)
         for machine, allocation in victims:
-            self._stop(machine, allocation)
+            self._attempts.preempt(machine, allocation)
         if victims:
             self._term.outbox.log("debug", f"{len(victims)} tasks stopped for more urgent work")
 
@@ -217,8 +214,8 @@
             self.place(job, machine)
         if job.placed_count() < job.spec.tasks:
             # Nothing of it was sent or written: it is as if it had not been placed.
-            for machine, allocation in list(allocations_of(self._cluster, job)):
-                self._attempt_ended(machine, allocation)
+            for machine, allocation in list(self._cluster.allocations_of(job)):
+                self._attempts.ended(machine, allocation)
 
     def place(self, job: Job, machine: Machine) -> None:
         """Commit a choice, ours or proposed, if everything that may be there still admits it."""
--- a/src/crosscleat/core/state/cluster.py
+++ b/src/crosscleat/core/state/cluster.py
@@ -26,6 +26,7 @@
 )
 from ..model.job_spec import JobSpec, Priority
 from .allocations import Allocation
+from .jobs import Job
 from .machine import NOWHERE, Machine
 
 
@@ -64,6 +65,16 @@
         allocation = machine and machine.allocations.get((TaskId(job, number), attempt))
         return (machine, allocation) if machine and allocation else None
 
+    def allocations_of(
+        self, job: Job, except_number: int | None = None
+    ) -> Iterator[tuple[Machine, Allocation]]:
+        """Where the job's tasks may be, leaving out the one with the number `except_number`."""
+        for chunk in job.chunks.values():
+            for number, placed in list(chunk.placed.items()):
+                found = self.find(job.ref, number, placed.attempt, placed.machine)
+                if found is not None and number != except_number:
+                    yield found
+
     def _count(self, machine: Machine, allocation: Allocation, sign: int) -> None:
         job = allocation.spec
         if machine.allocations:
--- a/tests/test_gang_attempts.py
+++ b/tests/test_gang_attempts.py
@@ -73,7 +73,7 @@
     term.leader.scheduler.place_gang(gang, [one, one], term.now)
     for allocation in one.allocations.values():
         allocation.recorded = allocation.sent = allocation.listed = True
-    term.leader.gangs.stop(gang, 5.0)
+    term.leader.attempts.stop_gang(gang, 5.0)
     stops = [o for o in term.leader.commands.orders(one, term.now, 1) if isinstance(o, StopOrder)]
     assert [stop.grace_s for stop in stops] == [5.0, 5.0]
     assert not any(isinstance(effect, Response) for effect in term.out.take())
@@ -91,7 +91,7 @@
     (start,) = [effect for effect in term.out.take() if isinstance(effect, DirectCommand)]
     assert len(start.orders) == 2
     start.continuation(None, True)
-    term.leader.gangs.stop(gang, 0.0)
+    term.leader.attempts.stop_gang(gang, 0.0)
     term.step(2.0)
     term.hear((1, 3))
     term.hear((1, 4))
--- a/tests/test_gang_progress.py
+++ b/tests/test_gang_progress.py
@@ -5,7 +5,6 @@
 import msgspec
 import pytest
 
-from crosscleat.core.control.gang_control import allocations_of
 from crosscleat.core.model.ids import Attempt, Seconds
 from crosscleat.core.model.job_spec import Shape
 from crosscleat.core.scheduling.scoring import RunTimes, Scorer
@@ -51,7 +50,7 @@
     """One observation of 20 of 30 s, beside two pretended ones of 1.0."""
     term, gang = placed_on_two()
     checkpoints = msgspec.structs.replace(gang.spec, checkpoint_s=10.0)
-    for _, allocation in list(allocations_of(term.leader.cluster, gang)):
+    for _, allocation in list(term.leader.cluster.allocations_of(gang)):
         allocation.spec, allocation.attempt = checkpoints, Attempt(attempt)
         allocation.running_since = Seconds(term.now - 20.0)
         allocation.placed_at = Seconds(term.leader.term.began + 0.1)
--- a/tests/test_gang_replacement.py
+++ b/tests/test_gang_replacement.py
@@ -5,7 +5,6 @@
 import msgspec
 import pytest
 
-from crosscleat.core.control.gang_control import allocations_of
 from crosscleat.core.model.ids import MachineId, Seconds, Version
 from crosscleat.core.model.store_calls import Commit, Committed
 from crosscleat.core.model.worker_calls import DirectCommand, StartOrder
@@ -46,9 +45,9 @@
     term.hear((1, 1), machine="m-2")
     term.hear((1, 3), tasks=(reported(0, state),))
     lost = next(
-        placed for placed in allocations_of(term.leader.cluster, gang) if placed[0].id == "m-1"
+        placed for placed in term.leader.cluster.allocations_of(gang) if placed[0].id == "m-1"
     )
-    term.leader.attempt_ended(*lost, term.now, None)
+    term.leader.attempts.ended(*lost)
     term.leader.finish_step(term.now)
     assert places(term)["m-2"] == ([] if state == "running" else [(1, 1)])
     assert places(term)["m-0"] == ([] if state == "running" else [(0, 1)])
