--- a/src/crosscleat/core/control/commands.py
+++ b/src/crosscleat/core/control/commands.py
@@ -1,4 +1,9 @@
-"""Orders to workers: what each is to do, in the answers to check-ins and by direct messages."""
+"""Orders to workers, in the answers to their heartbeats and by direct commands.
+
+An answer to a heartbeat is executed before the worker's next heartbeat, or never. A direct command
+may be executed late, or twice; only a higher fencing token rules that out, so the machine keeps the
+token of each direct start (`Machine.pending_start_token`, `Machine.direct_starts`).
+"""
 
 from __future__ import annotations
 
@@ -25,15 +30,17 @@
 from .pending_work import PendingWork
 
 MAX_ORDERS = 300
-"""In one message; the rest follows with the next."""
+"""Most orders in one message; the rest follows with the next."""
 
 MAX_HEARTBEAT_REQUESTS = 30
-"""Machines that a new leader sends a first message, in a tenth of a second."""
+"""Most machines that are asked for a heartbeat in one tick, a tenth of a second."""
 
 DIRECT_PAUSE_S = 1.5
-"""After a direct message without an answer, doubled with each more, up to the next."""
+"""No direct command is sent for twice this time after one without an answer, and for twice as long
+again after each further one, up to `MAX_DIRECT_PAUSE_S`."""
 
 MAX_DIRECT_PAUSE_S = 48.0
+"""The longest such pause."""
 
 
 class Commands:
@@ -48,25 +55,29 @@
         answered: Callable[[Machine, Heartbeat], None],
         missed: Callable[[Machine], None],
     ) -> None:
+        """`answered`: a worker answered a direct command with its status; `missed`: it did not."""
         self._term = term
         self._jobs = jobs
         self._cluster = cluster
         self._pending = pending
         self._answered = answered
         self._missed = missed
-        self._whole: dict[JobRef, bool] = {}
-        """Whether the gangs met so far may start, while orders are made out."""
+        self._gangs_complete: dict[JobRef, bool] = {}
+        """Whether the placements of all members are on record, of gangs in the present message."""
 
     def answer(self, request: int, machine: Machine, now: Seconds, sequence: int) -> None:
-        """Answer a check-in, whose tally this is, with what the worker is to do."""
+        """Answer the heartbeat with this sequence number with what the worker is to do."""
         token = self._term.election.token
         if token is not None:
             orders = self.orders(machine, now, sequence)
             self._term.outbox.add(HeartbeatResponse(request, token, tuple(orders)))
 
     def orders(self, machine: Machine, now: Seconds, answering: int | None) -> list[Order]:
-        """What the worker is to do; `answering` is the tally of the check-in answered."""
-        self._whole.clear()
+        """What the worker is to do.
+
+        `answering` is the sequence number of the heartbeat answered; None: a direct command.
+        """
+        self._gangs_complete.clear()
         return self._orders(machine, now, answering)
 
     def _orders(self, machine: Machine, now: Seconds, answering: int | None) -> list[Order]:
@@ -80,7 +91,7 @@
                     )
                 elif machine.shown_token <= machine.pending_start_token:
                     self._want_rotation(machine)
-            elif may_start and self._to_start(machine, allocation):
+            elif may_start and self._is_startable(machine, allocation):
                 orders.append(StartOrder(str(allocation.task), allocation.attempt))
                 allocation.sent = True
                 if answering is not None:
@@ -90,11 +101,12 @@
         orders.extend(
             ClearOrder(str(key[0]), key[1])
             for key in machine.exited
-            if self._clearable(machine, key)
+            if self._is_clearable(machine, key)
         )
         return orders[:MAX_ORDERS]
 
-    def _to_start(self, machine: Machine, allocation: Allocation) -> bool:
+    def _is_startable(self, machine: Machine, allocation: Allocation) -> bool:
+        """Whether the attempt is on record and the worker's agent epoch is the one it is for."""
         if (
             not allocation.recorded
             or allocation.listed
@@ -103,18 +115,18 @@
             return False
         if allocation.spec.shape is not Shape.GANG:
             return True
-        # No task of a gang is started before the store has the places of all.
-        whole = self._whole.get(allocation.task.job)
-        if whole is None:
+        # No member of a gang is started before the store has the placements of all.
+        complete = self._gangs_complete.get(allocation.task.job)
+        if complete is None:
             job = self._jobs.get(allocation.task.job)
-            whole = self._whole[allocation.task.job] = job is not None and job.whole
-        return whole
+            complete = self._gangs_complete[allocation.task.job] = job is not None and job.whole
+        return complete
 
-    def _clearable(self, machine: Machine, key: AttemptKey) -> bool:
-        """Once cleared, the attempt is unknown to the worker and a late start would start it again.
+    def _is_clearable(self, machine: Machine, key: AttemptKey) -> bool:
+        """Whether the worker may forget the exited attempt.
 
-        So no start may be on its way any more, and the store must not name it any more, or
-        the next leader would send one.
+        A late start would then start it again. So no start may still arrive, and the store must
+        not name the attempt any more, or the next leader would send a start.
         """
         if machine.direct_in_flight:
             return False
@@ -136,57 +148,66 @@
         if machine.shown_token >= self._term.began_token:
             self._pending.rotation_wanted = True
 
-    # Direct messages
+    # Direct commands
 
     def send_direct(self, now: Seconds) -> None:
-        """Send the machines that were kicked what they are to do."""
+        """Send their orders to the machines that are marked as direct targets."""
         pending = self._pending
         targets, pending.direct_targets = pending.direct_targets, set()
-        self._whole.clear()
+        self._gangs_complete.clear()
         if self._term.election.token is None:
             return
         for machine_id in targets:
             machine = self._cluster.machines.get(machine_id)
-            if (
-                machine is None
-                or machine.address is None
-                or not machine.up
-                or machine.decommissioning
-            ):
+            if machine is None or not self._takes_direct_commands(machine):
                 continue
             if machine.direct_in_flight:
                 pending.direct_targets.add(machine_id)
                 continue
             if now < machine.direct_after:
                 continue
-            orders = [o for o in self._orders(machine, now, None) if not isinstance(o, ClearOrder)]
+            # Clearing can wait for the next heartbeat.
+            orders = tuple(
+                order
+                for order in self._orders(machine, now, None)
+                if not isinstance(order, ClearOrder)
+            )
             if orders:
-                self._send(machine, machine.heartbeat_id.agent_epoch, tuple(orders))
+                self._send(machine, machine.heartbeat_id.agent_epoch, orders)
+
+    def _takes_direct_commands(self, machine: Machine) -> bool:
+        return machine.address is not None and machine.up and not machine.decommissioning
 
     def send_heartbeat_requests(self) -> None:
-        """A new leader greets all machines, a few at a time: hundreds of messages at once would
-        keep its own renewal and the first starts waiting."""
+        """Ask the next of the queued machines for a heartbeat.
+
+        A new leader asks all machines, a few at a time: hundreds of messages at once would delay
+        the renewal of its own lease and the first starts.
+        """
         queued = self._pending.heartbeat_requests
-        greeted = 0
-        while queued and greeted < MAX_HEARTBEAT_REQUESTS:
+        requested = 0
+        while queued and requested < MAX_HEARTBEAT_REQUESTS:
             machine = queued.popleft()
             if not (machine.up and machine.confirmed) and machine.id in self._cluster.machines:
-                greeted += 1
+                requested += 1
                 self.request_heartbeat(machine)
 
     def request_heartbeat(self, machine: Machine) -> None:
-        """No orders: the answer brings the worker's report, and shows it our token."""
+        """Send no orders: this shows the worker our token, and its answer shows us its status."""
         if not machine.direct_in_flight:
-            self._send(machine, self._session_of(machine), ())
+            self._send(machine, self._agent_epoch_of(machine), ())
 
     def ask(self, machine: Machine) -> None:
-        """Ask after a silent machine, through the other controllers too."""
+        """Ask a silent machine for a heartbeat, directly and through the other controllers."""
         token = self._term.election.token
         if machine.address is not None and token is not None:
             self.request_heartbeat(machine)
-            self._term.outbox.add(IndirectProbe(machine.address, token, self._session_of(machine)))
+            self._term.outbox.add(
+                IndirectProbe(machine.address, token, self._agent_epoch_of(machine))
+            )
 
-    def _session_of(self, machine: Machine) -> AgentEpoch:
+    def _agent_epoch_of(self, machine: Machine) -> AgentEpoch:
+        """The highest agent epoch known of the worker: of its heartbeats or of a placement."""
         placed = (allocation.agent_epoch for allocation in machine.allocations.values())
         return max(machine.heartbeat_id.agent_epoch, AgentEpoch(1), *placed)
 
@@ -194,13 +215,13 @@
         token = self._term.election.token
         if token is None or machine.address is None:
             return
-        # Lost orders other than starts can do no harm later, so they put no token at risk.
         machine.direct_in_flight = True
         starts = [order for order in orders if isinstance(order, StartOrder)]
         for order in starts:
             task = TaskId.parse(order.task)
             if task is not None:
                 machine.direct_starts[task, Attempt(order.attempt)] = token
+        # Orders other than starts do no harm when they are executed late.
         done = self._when_done(machine, token if starts else NO_TOKEN)
         self._term.outbox.add(DirectCommand(machine.address, token, agent_epoch, orders, done))
 
