--- /dev/null
+++ b/tests/test_leader_without_workers.py
@@ -0,0 +1,133 @@
+"""When a leader that workers do not reach, or that does not reach them, resigns."""
+
+from __future__ import annotations
+
+from crosscleat.core.model.cloud import ListedMachine
+from crosscleat.core.model.ids import (
+    MachineId,
+    Zone,
+)
+from crosscleat.core.model.worker_calls import DirectCommand
+from crosscleat.core.state.machine import Machine
+
+from .term import Term, held
+from .world import LEASE_S, TYPES
+
+
+def test_a_leader_whom_no_worker_can_reach_lets_a_follower_lead() -> None:
+    term = Term()
+    listed = [
+        ListedMachine(MachineId(f"m-{n}"), f"m-{n}", TYPES[1].name, Zone("a"), True, "running", 9)
+        for n in range(5)
+    ]
+    term.leader.machines.listed(listed)
+    term.leader.tick(term.now)
+    greetings = [effect for effect in term.out.take() if isinstance(effect, DirectCommand)]
+    assert len(greetings) == 5
+    for greeting in greetings[:4]:
+        greeting.continuation(None, False)
+    # A single one that hears us speaks against it.
+    term.step(6.0)
+    term.hear((1, 1), relayed=False)
+    term.leader.tick(term.now)
+    assert term.lost == []
+    for greeting in greetings[:4]:
+        greeting.continuation(None, False)
+    term.step(6.0)
+    term.hear((1, 2), relayed=True)
+    term.leader.tick(term.now)
+    assert term.lost == ["no worker reaches us"]
+
+
+def test_a_leader_of_many_machines_notices_soon_that_it_hears_none() -> None:
+    term = Term()
+    types = term.leader.fleet.types
+    for n in range(100):
+        one = Machine(MachineId(f"m-{n}"), types[TYPES[0].name], Zone("a"), True)
+        one.up = True
+        one.last_heard = one.created_at = term.now
+        term.leader.cluster.machines[one.id] = one
+    # A process that stood still for a while has not listened: that is no silence.
+    term.step(4.0)
+    term.leader.tick(term.now)
+    assert term.lost == []
+    for _ in range(9):
+        term.step(0.01)
+        term.leader.tick(term.now)
+    assert term.lost == ["no worker reaches us"]
+
+
+def test_a_leader_whose_answers_reach_no_worker_returns_none_and_resigns() -> None:
+    term = Term()
+    for n in range(10):
+        one = Machine(MachineId(f"m-{n}"), TYPES[0], Zone("a"), True)
+        one.up = True
+        one.last_heard = one.created_at = term.now
+        one.unresponsive_since = term.now
+        term.leader.cluster.machines[one.id] = one
+    term.step(2.5)
+    for one in term.leader.cluster.machines.values():
+        one.last_heard = term.now
+    term.leader.tick(term.now)
+    assert term.lost == ["no worker hears us"]
+    assert not any(one.decommissioning for one in term.leader.cluster.machines.values())
+
+
+def busy_term(machines: int) -> Term:
+    """A leader to which many machines have reported; what it sent meanwhile is forgotten."""
+    term = Term()
+    for number in range(machines):
+        term.hear((1, 1), machine=f"m-{number}")
+    term.leader.tick(term.now)
+    term.out.take()
+    return term
+
+
+def seconds_alone(term: Term, seconds: float, answers: bool) -> int:
+    """Time passes without check-ins; how many machines were greeted."""
+    greeted = 0
+    for _ in range(int(seconds / 0.1)):
+        term.step(0.1)
+        term.leader.tick(term.now)
+        for effect in term.out.take():
+            if isinstance(effect, DirectCommand) and effect.orders == ():
+                greeted += 1
+                if answers:
+                    effect.continuation(term.heartbeat(effect.address, (1, 1 + greeted)), True)
+    return greeted
+
+
+def test_a_leader_that_workers_answer_waits_for_them_to_find_it() -> None:
+    # All were with a controller that ended; each takes up to 5 s to turn to another.
+    term = busy_term(100)
+    assert seconds_alone(term, 4.5, answers=True) > 0
+    assert term.lost == []
+    # But a leader that nobody turns to is of no use, whatever they answer.
+    seconds_alone(term, LEASE_S, answers=True)
+    assert term.lost[:1] == ["no worker reaches us"]
+
+
+def test_a_leader_that_no_worker_answers_resigns_soon() -> None:
+    term = busy_term(100)
+    seconds_alone(term, 1.5, answers=False)
+    assert term.lost[:1] == ["no worker reaches us"]
+
+
+def test_a_new_leader_greets_its_machines_a_few_at_a_time_those_with_room_first() -> None:
+    live, work = held(agent_epoch=1)
+    term = Term(live, work)
+    listed = [
+        ListedMachine(MachineId(f"m-{n}"), f"m-{n}", TYPES[1].name, Zone("a"), True, "running", 9)
+        for n in range(1000)
+    ]
+    term.leader.machines.listed(listed)
+    assert not any(isinstance(effect, DirectCommand) for effect in term.out.take())
+    greeted = []
+    for _ in range(50):
+        term.step(0.1)
+        term.leader.tick(term.now)
+        batch = [e.address for e in term.out.take() if isinstance(e, DirectCommand)]
+        assert len(batch) <= 50
+        greeted += batch
+    assert sorted(greeted) == sorted(machine.address for machine in listed)
+    assert greeted[-1] == "m-0", "the only one that is known to hold a task"
--- /dev/null
+++ b/tests/test_stale_heartbeats.py
@@ -0,0 +1,96 @@
+"""Old copies of heartbeats, and names that begin anew: what they prove, and what not."""
+
+from __future__ import annotations
+
+import pytest
+
+from crosscleat.core.model.cloud_calls import DeleteMachines
+from crosscleat.core.model.effects import Response
+from crosscleat.core.model.ids import (
+    MachineId,
+)
+from crosscleat.core.model.worker_calls import DirectCommand
+
+from .term import TOKEN, Term, held
+from .world import LEASE_S
+
+
+def test_a_machine_of_which_only_an_old_copy_speaks_gets_no_work() -> None:
+    term = Term()
+    # It may have been deleted long ago: no tombstone of ours tells.
+    term.hear((1, 40), token=TOKEN - 2)
+    term.leader.tick(term.now)
+    asked = term.out.take()
+    assert any(isinstance(a, DirectCommand) and a.orders == () for a in asked), "asks it directly"
+    assert not term.usable
+    term.step(0.5)
+    term.hear((1, 41))
+    assert term.usable, "it has seen our token, so it lives"
+
+
+def test_an_old_report_does_not_bring_back_a_machine_that_we_deleted() -> None:
+    term = Term()
+    term.hear((1, 40))
+    machine = term.leader.cluster.machines[MachineId("m-0")]
+    term.leader.decommissioner.decommission(machine, "test")
+    machine.decommission_recorded = True
+    term.leader.tick(term.now)
+    (delete,) = [e for e in term.out.take() if isinstance(e, DeleteMachines)]
+    delete.continuation(True)
+    # It was on its way when the machine was deleted, and shows our token.
+    assert term.hear((1, 41)) == [Response(1, 503, None, 1)]
+    assert term.leader.cluster.machines == {}
+
+
+def test_a_late_copy_renews_nothing() -> None:
+    term = Term()
+    term.hear((1, 40))
+    term.step(3.0)
+    machine = term.leader.cluster.machines[MachineId("m-0")]
+    before = (machine.last_heard, machine.last_answer, machine.heartbeat_id)
+    for seen in ((1, 40), (1, 7)):
+        assert term.hear(seen) == [Response(1, 503, None, 1)]
+    assert (machine.last_heard, machine.last_answer, machine.heartbeat_id) == before
+
+
+def test_reports_held_up_in_a_cut_are_no_sign_of_deafness() -> None:
+    term = Term()
+    for sequence in range(1, 6):
+        term.hear((1, sequence))
+        term.step(2.0)
+    term.step(LEASE_S + 1.0)
+    # All at once, when the cut ends: we answer the old ones too, but nobody waits for that.
+    for seen in ((1, 6), (1, 7), (2, 8)):
+        term.hear(seen)
+    assert not term.decommissioning
+
+
+@pytest.mark.parametrize("agent_epoch", [1, 4])
+def test_a_machine_that_counts_its_sessions_anew_is_returned(agent_epoch: int) -> None:
+    live, work = held(agent_epoch=4)
+    term = Term(live, work)
+    term.hear((agent_epoch, 1), token=TOKEN - 1)
+    assert not term.decommissioning, "it may be an old copy"
+    term.step(0.5)
+    term.hear((agent_epoch, 2))
+    assert term.decommissioning == (agent_epoch == 1)
+
+
+def test_a_copy_from_before_a_machine_began_anew_proves_nothing_gone() -> None:
+    # It had come to session 3, lost power, and counts from 1 again; a task was placed there since.
+    term = Term(*held(agent_epoch=1))
+    term.hear((1, 9))
+    machine = term.leader.cluster.machines[MachineId("m-0")]
+    assert machine.allocations
+    assert term.hear((3, 52), token=TOKEN - 1) == [Response(1, 503, None, 1)]
+    assert machine.allocations
+
+
+def test_a_later_session_proves_the_end_of_tasks_once_it_shows_our_token() -> None:
+    term = Term(*held(agent_epoch=1))
+    term.hear((3, 52), token=TOKEN - 1)
+    machine = term.leader.cluster.machines[MachineId("m-0")]
+    assert machine.allocations, "it may be a copy from before the machine lost power"
+    term.step(0.5)
+    term.hear((3, 53))
+    assert not machine.allocations
