--- a/src/crosscleat/core/control/commands.py
+++ b/src/crosscleat/core/control/commands.py
@@ -197,7 +197,7 @@
         if not machine.direct_in_flight:
             self._send(machine, self._agent_epoch_of(machine), ())
 
-    def ask(self, machine: Machine) -> None:
+    def probe(self, machine: Machine) -> None:
         """Ask a silent machine for a heartbeat, directly and through the other controllers."""
         token = self._term.election.token
         if machine.address is not None and token is not None:
--- a/src/crosscleat/core/control/leader.py
+++ b/src/crosscleat/core/control/leader.py
@@ -36,7 +36,7 @@
 from .commands import Commands
 from .evacuation import Evacuation
 from .gang_control import GangControl
-from .liveness import UNBROKEN_LEASES, Liveness
+from .liveness import ANSWERED_LEASES, Liveness
 from .pending_work import PendingWork
 from .retries import Retries
 from .scheduler import Scheduler
@@ -280,13 +280,13 @@
             # Late, or repeated: the worker has given this one up and drops any answer.
             self.outbox.add(Response(request, 503, retry_after_s=1))
             return
-        self.liveness.listen(machine, heartbeat, now)
+        self.liveness.check_answers_arrive(machine, heartbeat, now)
         self._apply(machine, heartbeat, now, receive_heartbeat=True)
         self.liveness.heartbeat_received(now)
         if not machine.confirmed:
             self.pending.queue_heartbeat_requests([machine])
         self.commands.answer(request, machine, now, heartbeat.heartbeat_id.sequence)
-        if now - machine.answered_at > UNBROKEN_LEASES * self.deployment.lease_s:
+        if now - machine.answered_at > ANSWERED_LEASES * self.deployment.lease_s:
             # Reports held up in a cut come all at once, long after their workers gave them up.
             machine.answered_from = now
         machine.last_heard = machine.answered_at = now
@@ -362,7 +362,7 @@
         """What the report's session, tally and token say of the machine."""
         later_session = heartbeat.heartbeat_id.agent_epoch > machine.heartbeat_id.agent_epoch
         machine.heartbeat_id = heartbeat.heartbeat_id
-        self.liveness.heard()
+        self.liveness.status_received()
         if receive_heartbeat:
             machine.heartbeat_sequence = heartbeat.heartbeat_id.sequence
         elif later_session:
--- a/tests/test_leader_without_workers.py
+++ b/tests/test_leader_without_workers.py
@@ -69,7 +69,7 @@
     for one in term.leader.cluster.machines.values():
         one.last_heard = term.now
     term.leader.tick(term.now)
-    assert term.lost == ["no worker hears us"]
+    assert term.lost == ["no worker receives our answers"]
     assert not any(one.decommissioning for one in term.leader.cluster.machines.values())
 
 
