--- /dev/null
+++ b/tests/planning.py
@@ -0,0 +1,40 @@
+"""Jobs, machines and scheduling cycles by themselves, for the tests."""
+
+from __future__ import annotations
+
+from random import Random
+from typing import Any
+
+from crosscleat.core.model.ids import MachineId, Seconds, Version, Zone
+from crosscleat.core.scheduling.cycle import SchedulingCycle
+from crosscleat.core.scheduling.free_capacity import Assignment
+from crosscleat.core.scheduling.scoring import RunTimes, Scorer
+from crosscleat.core.state.cluster import ClusterState
+from crosscleat.core.state.jobs import Job
+from crosscleat.core.state.machine import Machine
+
+from .world import TEAMS, TYPES, deployment, job
+
+NOW = Seconds(100.0)
+
+
+def waiting(ref: str, **changes: Any) -> Job:
+    return Job(job(ref, **changes), Version(1), NOW)
+
+
+def machine(name: str, kind: int = 1, zone: str = "a", spot: bool = True) -> Machine:
+    return Machine(MachineId(name), TYPES[kind], Zone(zone), spot)
+
+
+def plan(
+    jobs: list[Job],
+    machines: list[Machine],
+    most: int = 100,
+    reserve: float = 0.0,
+    backfill_reserve: float = 0.0,
+) -> list[Assignment]:
+    scorer = Scorer(deployment("c0"), RunTimes())
+    planned = SchedulingCycle(
+        ClusterState(), scorer, TEAMS, Random(1), NOW, 0.05, reserve, 0.0, backfill_reserve
+    )
+    return planned.plan(jobs, machines, most)
--- a/tests/test_encoded_jobs.py
+++ b/tests/test_encoded_jobs.py
@@ -40,7 +40,7 @@
 
 from .effects import answered, only
 from .encoded import LIVE, SPEC, STORED_SPEC, SUBMISSION, pack, unpack
-from .test_user_requests import user_requests
+from .user_requests import user_requests
 from .world import job
 
 NOW = Seconds(100.0)
--- a/tests/test_gang_attempts.py
+++ b/tests/test_gang_attempts.py
@@ -11,8 +11,8 @@
 from crosscleat.core.state.jobs import Job
 
 from .gangs import gang_term, on_record, reported, starts_for, taken_over
+from .planning import machine, plan, waiting
 from .term import TOKEN
-from .test_rounds import machine, plan, waiting
 from .world import job
 
 
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -16,7 +16,7 @@
 from crosscleat.core.state.jobs import Job
 from crosscleat.core.state.machine import Machine
 
-from .test_rounds import NOW, machine, plan, waiting
+from .planning import NOW, machine, plan, waiting
 from .world import GANG_WAIT_S, TEAMS, deployment
 
 
--- a/tests/test_gang_progress.py
+++ b/tests/test_gang_progress.py
@@ -11,7 +11,7 @@
 from crosscleat.core.state.gangs import GangProgress
 
 from .gangs import placed_on_two
-from .test_rounds import waiting
+from .planning import waiting
 from .world import deployment, job
 
 
--- a/tests/test_leader_without_workers.py
+++ b/tests/test_leader_without_workers.py
@@ -3,10 +3,7 @@
 from __future__ import annotations
 
 from crosscleat.core.model.cloud import ListedMachine
-from crosscleat.core.model.ids import (
-    MachineId,
-    Zone,
-)
+from crosscleat.core.model.ids import MachineId, Zone
 from crosscleat.core.model.worker_calls import DirectCommand
 from crosscleat.core.state.machine import Machine
 
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -23,9 +23,9 @@
 from crosscleat.core.state.jobs import Job
 from crosscleat.core.state.machine import Machine
 
-from .test_fleet import fleet, full, refuse_cheap, want
-from .test_fleet import waiting as waiting_for
-from .test_rounds import NOW, machine, plan, waiting
+from .fleets import fleet, full, refuse_cheap, want
+from .fleets import waiting as waiting_for
+from .planning import NOW, machine, plan, waiting
 from .world import TEAMS, job
 
 GUEST = TeamLimits(Team("guest"), 0.0, 0.0, 0.0, 0.0)
--- a/tests/test_stale_heartbeats.py
+++ b/tests/test_stale_heartbeats.py
@@ -6,9 +6,7 @@
 
 from crosscleat.core.model.cloud_calls import DeleteMachines
 from crosscleat.core.model.effects import Response
-from crosscleat.core.model.ids import (
-    MachineId,
-)
+from crosscleat.core.model.ids import MachineId
 from crosscleat.core.model.worker_calls import DirectCommand
 
 from .term import TOKEN, Term, held
--- a/tests/test_task_reports.py
+++ b/tests/test_task_reports.py
@@ -7,15 +7,7 @@
 
 from crosscleat.core.model.effects import LogRecord
 from crosscleat.core.model.heartbeats import TaskStatus
-from crosscleat.core.model.ids import (
-    AgentEpoch,
-    Attempt,
-    JobRef,
-    MachineId,
-    TaskId,
-    Token,
-    Zone,
-)
+from crosscleat.core.model.ids import AgentEpoch, Attempt, JobRef, MachineId, TaskId, Token, Zone
 from crosscleat.core.model.worker_calls import ClearOrder, DirectCommand, HeartbeatResponse
 from crosscleat.core.state.allocations import Allocation
 from crosscleat.core.state.cluster import ClusterState
--- a/tests/test_unresponsive_workers.py
+++ b/tests/test_unresponsive_workers.py
@@ -4,11 +4,7 @@
 
 import pytest
 
-from crosscleat.core.model.ids import (
-    MachineId,
-    Team,
-    Zone,
-)
+from crosscleat.core.model.ids import MachineId, Team, Zone
 from crosscleat.core.model.worker_calls import HeartbeatResponse
 from crosscleat.core.state.machine import Machine
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -38,7 +38,7 @@
     Spec394dfe6,
     read_by_394dfe6,
 )
-from .test_user_requests import user_requests
+from .user_requests import user_requests
 from .world import NEXT_LIMITS, job
 
 NOW = Seconds(100.0)
--- a/tests/test_upgrade_coordination.py
+++ b/tests/test_upgrade_coordination.py
@@ -19,7 +19,7 @@
     Scan,
 )
 
-from .test_user_requests import user_requests
+from .user_requests import user_requests
 from .world import MEMBERS, job
 
 
--- a/tests/test_user_requests.py
+++ b/tests/test_user_requests.py
@@ -8,7 +8,7 @@
 
 from crosscleat.core.control.user_requests import UserRequests
 from crosscleat.core.model.effects import Delay, Outbox, Response
-from crosscleat.core.model.ids import JobRef, Seconds, TypeName, Version, WallTime
+from crosscleat.core.model.ids import JobRef, TypeName, Version, WallTime
 from crosscleat.core.model.job_spec import Shape
 from crosscleat.core.model.store_calls import (
     Commit,
@@ -25,13 +25,8 @@
 from crosscleat.core.state.job_records import live_record
 
 from .effects import answered, only
-from .world import TYPES, deployment, job
-
-
-def user_requests(types: bool = True) -> tuple[UserRequests, Outbox]:
-    out = Outbox()
-    known = {kind.name: kind for kind in TYPES} if types else {}
-    return UserRequests(deployment("c0"), out, known, lambda: Seconds(100.0), lambda: True), out
+from .user_requests import user_requests
+from .world import TYPES, job
 
 
 def live(ref: str, version: int, cancelled: bool = False) -> Item:
