--- a/src/crosscleat/settings.py
+++ b/src/crosscleat/settings.py
@@ -10,6 +10,7 @@
 from msgspec import Meta
 
 from .core.model.deployment import Deployment, Objective, TeamLimits, TuningOptions
+from .core.model.errors import CrosscleatError
 from .core.model.ids import Member, Team
 
 Positive = Annotated[float, Meta(gt=0.0, le=1e9)]
@@ -21,7 +22,7 @@
 Address = Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$")]
 
 
-class SettingsError(Exception):
+class SettingsError(CrosscleatError):
     """One line that says which setting is missing or makes no sense."""
 
 
--- a/src/crosscleat/wire/peers.py
+++ b/src/crosscleat/wire/peers.py
@@ -4,6 +4,7 @@
 
 import msgspec
 
+from ..core.model.errors import CrosscleatError
 from ..core.model.shards import ShardProposal, ShardView
 
 MAX_FRAME = 1 << 20
@@ -87,7 +88,7 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-class FrameTooLongError(ValueError):
+class FrameTooLongError(CrosscleatError, ValueError):
     """No receiver takes a message of this length."""
 
 
