--- a/src/crosscleat/core/capacity/scaling.py
+++ b/src/crosscleat/core/capacity/scaling.py
@@ -66,8 +66,12 @@
         self._number = 0
         self._adjust_at = term.now
         self._judged_at = term.now
-        self.first_term = False
+        self._expects_machines = True
+        """Machines may be rented from before this term."""
+
+    def expect_no_machines(self) -> None:
         """Nothing was on record when the term began: hardly a machine is rented."""
+        self._expects_machines = False
 
     def adjust(self, now: Seconds) -> None:
         """Rent the batch that is wanted most, if any, and return idle machines."""
@@ -129,7 +133,7 @@
         Unless nothing is on record: then no work has begun, and hardly a machine is rented.
         """
         wait_s = min(HEARD_S, self._term.deployment.heartbeat_interval_s * HEARD_REPORTS)
-        return self.first_term or now - self._term.began > wait_s
+        return not self._expects_machines or now - self._term.began > wait_s
 
     def _rate(self, wanted: ScaleOutRequest) -> float:
         kind = self._fleet.types[wanted.pool.type]
--- /dev/null
+++ b/src/crosscleat/core/control/assembly.py
@@ -0,0 +1,272 @@
+"""The one place where a leader is put together.
+
+Each part gets what it needs when it is built, and nothing is set afterwards: a part is built after
+those that it calls. Where two parts need each other, one of them leaves a mark in `PendingWork`, or
+gets the other, as a narrow protocol, with the call.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from random import Random
+
+from ..capacity.decommissioning import Decommissioner
+from ..capacity.fleet import Fleet
+from ..capacity.interruptions import InterruptionStats
+from ..capacity.machines import Machines
+from ..capacity.scaling import Autoscaler
+from ..election.election import Election
+from ..election.term import LeadingTerm
+from ..model.cloud import MachineType
+from ..model.deployment import Deployment
+from ..model.effects import Outbox
+from ..model.ids import JobRef, Seconds, TypeName, WallTime
+from ..scheduling.scoring import RunTimes, Scorer
+from ..state.cluster import ClusterState
+from ..state.decommission_records import DecommissionRecords
+from ..state.jobs import Job
+from ..state.placement_records import PlacementRecords
+from .attempts import Attempts
+from .commands import Commands
+from .evacuation import Evacuation
+from .gang_control import GangControl
+from .heartbeat_processing import HeartbeatProcessing
+from .heartbeat_receiver import HeartbeatReceiver
+from .job_changes import JobChanges
+from .leader import Leader
+from .liveness import Liveness
+from .pending_work import PendingWork
+from .progress import Progress
+from .retries import Retries
+from .scheduler import Scheduler
+from .task_statuses import TaskStatuses
+from .write_outcomes import WriteOutcomes
+from .writer import Writer
+
+
+class _State:
+    """What the parts of a leader share: the term, what is known, and what is still to be done."""
+
+    def __init__(
+        self, term: LeadingTerm, types: dict[TypeName, MachineType], cut_chunks: bool
+    ) -> None:
+        deployment = term.deployment
+        self.term = term
+        self.jobs: dict[JobRef, Job] = {}
+        self.cluster = ClusterState()
+        self.placement_records = PlacementRecords(
+            deployment.value_kb, deployment.txn_ops, cut_chunks
+        )
+        self.decommission_records = DecommissionRecords(deployment.value_kb)
+        self.run_times = RunTimes()
+        self.scorer = Scorer(deployment, self.run_times)
+        self.fleet = Fleet(
+            deployment.tuning, self.scorer.completion_target_s, self.scorer.remaining_s
+        )
+        self.fleet.types = types
+        self.interruptions = InterruptionStats()
+        self.pending = PendingWork()
+
+
+@dataclass(frozen=True)
+class _AttemptParts:
+    attempts: Attempts
+    gangs: GangControl
+    evacuation: Evacuation
+
+
+@dataclass(frozen=True)
+class _MachineParts:
+    decommissioner: Decommissioner
+    liveness: Liveness
+    machines: Machines
+
+
+@dataclass(frozen=True)
+class _WorkerParts:
+    task_statuses: TaskStatuses
+    heartbeat_processing: HeartbeatProcessing
+    heartbeat_receiver: HeartbeatReceiver
+    commands: Commands
+
+
+@dataclass(frozen=True)
+class _JobParts:
+    job_changes: JobChanges
+    progress: Progress
+    write_outcomes: WriteOutcomes
+    writer: Writer
+
+
+@dataclass(frozen=True)
+class _PlanningParts:
+    scheduler: Scheduler
+    autoscaler: Autoscaler
+
+
+def build_leader(
+    deployment: Deployment,
+    election: Election,
+    outbox: Outbox,
+    rng: Random,
+    types: dict[TypeName, MachineType],
+    now: Seconds,
+    wall: WallTime,
+    cut_chunks: bool = True,
+) -> Leader:
+    """A leader whose term begins now, with nothing known of jobs and machines.
+
+    `types` is shared with the controller, which updates it; `cut_chunks`: whether chunks may be
+    cut to fit a value of the store, as no controller of an older version reads them.
+    """
+    state = _State(LeadingTerm(deployment, election, outbox, now), types, cut_chunks)
+    attempts = _attempt_parts(state)
+    machines = _machine_parts(state, attempts)
+    workers = _worker_parts(state, attempts, machines)
+    jobs = _job_parts(state, attempts, wall)
+    planning = _planning_parts(state, attempts, machines, rng)
+    return Leader(
+        term=state.term,
+        jobs=state.jobs,
+        cluster=state.cluster,
+        placement_records=state.placement_records,
+        decommission_records=state.decommission_records,
+        run_times=state.run_times,
+        fleet=state.fleet,
+        pending=state.pending,
+        attempts=attempts.attempts,
+        gangs=attempts.gangs,
+        decommissioner=machines.decommissioner,
+        liveness=machines.liveness,
+        machines=machines.machines,
+        job_changes=jobs.job_changes,
+        task_statuses=workers.task_statuses,
+        heartbeat_processing=workers.heartbeat_processing,
+        heartbeat_receiver=workers.heartbeat_receiver,
+        commands=workers.commands,
+        write_outcomes=jobs.write_outcomes,
+        writer=jobs.writer,
+        scheduler=planning.scheduler,
+        autoscaler=planning.autoscaler,
+        progress=jobs.progress,
+    )
+
+
+def _attempt_parts(state: _State) -> _AttemptParts:
+    attempts = Attempts(
+        state.term,
+        state.jobs,
+        state.cluster,
+        state.placement_records,
+        Retries(state.term, state.jobs),
+        state.pending,
+    )
+    gangs = GangControl(
+        state.term, state.jobs, state.cluster, state.scorer, attempts, state.pending
+    )
+    evacuation = Evacuation(state.term, state.run_times, state.interruptions, gangs, attempts)
+    return _AttemptParts(attempts, gangs, evacuation)
+
+
+def _machine_parts(state: _State, attempts: _AttemptParts) -> _MachineParts:
+    term = state.term
+    decommissioner = Decommissioner(term, state.pending)
+    liveness = Liveness(term.deployment, state.cluster, term.election, decommissioner, term.now)
+    machines = Machines(
+        term,
+        state.cluster,
+        state.fleet,
+        state.interruptions,
+        state.decommission_records,
+        attempts.attempts,
+        liveness,
+        decommissioner,
+        state.pending,
+    )
+    return _MachineParts(decommissioner, liveness, machines)
+
+
+def _worker_parts(state: _State, attempts: _AttemptParts, machines: _MachineParts) -> _WorkerParts:
+    task_statuses = TaskStatuses(state.term, state.jobs, state.run_times, attempts.attempts)
+    processing = HeartbeatProcessing(
+        state.term,
+        state.cluster,
+        machines.machines,
+        machines.liveness,
+        machines.decommissioner,
+        task_statuses,
+        attempts.attempts,
+        attempts.evacuation,
+        state.pending,
+    )
+    commands = Commands(state.term, state.jobs, state.cluster, state.pending, processing)
+    receiver = HeartbeatReceiver(
+        state.term, machines.machines, machines.liveness, processing, commands, state.pending
+    )
+    return _WorkerParts(task_statuses, processing, receiver, commands)
+
+
+def _job_parts(state: _State, attempts: _AttemptParts, wall: WallTime) -> _JobParts:
+    job_changes = JobChanges(
+        state.term,
+        state.jobs,
+        state.cluster,
+        state.placement_records,
+        state.fleet,
+        state.scorer,
+        state.interruptions,
+        attempts.attempts,
+        state.pending,
+        wall,
+    )
+    progress = Progress(state.jobs, state.cluster)
+    write_outcomes = WriteOutcomes(
+        state.term,
+        state.jobs,
+        state.cluster,
+        attempts.attempts,
+        job_changes,
+        progress,
+        state.pending,
+    )
+    writer = Writer(
+        state.term,
+        state.jobs,
+        state.cluster,
+        state.placement_records,
+        state.decommission_records,
+        state.pending,
+        write_outcomes,
+    )
+    return _JobParts(job_changes, progress, write_outcomes, writer)
+
+
+def _planning_parts(
+    state: _State, attempts: _AttemptParts, machines: _MachineParts, rng: Random
+) -> _PlanningParts:
+    scheduler = Scheduler(
+        state.term,
+        state.jobs,
+        state.cluster,
+        state.fleet,
+        state.scorer,
+        state.run_times,
+        machines.machines,
+        attempts.gangs,
+        state.placement_records,
+        state.pending,
+        attempts.attempts,
+        rng,
+    )
+    autoscaler = Autoscaler(
+        state.term,
+        state.jobs,
+        state.cluster,
+        state.fleet,
+        state.scorer,
+        state.interruptions,
+        machines.machines,
+        machines.decommissioner,
+        attempts.evacuation,
+    )
+    return _PlanningParts(scheduler, autoscaler)
--- a/src/crosscleat/core/control/commands.py
+++ b/src/crosscleat/core/control/commands.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import Protocol
 
 from ..election.term import LeadingTerm
 from ..model import heartbeats
@@ -44,6 +45,16 @@
 """The longest such pause."""
 
 
+class DirectReplies(Protocol):
+    """Takes the replies to direct commands (`heartbeat_processing.HeartbeatProcessing`)."""
+
+    def reply_received(self, machine: Machine, heartbeat: Heartbeat) -> None:
+        """A direct command to the machine was answered with this heartbeat."""
+
+    def reply_missed(self, machine: Machine) -> None:
+        """A direct command to the machine was not answered."""
+
+
 class Commands:
     """Sends orders and knows which of them may still be executed late."""
 
@@ -53,16 +64,13 @@
         jobs: dict[JobRef, Job],
         cluster: ClusterState,
         pending: PendingWork,
-        answered: Callable[[Machine, Heartbeat], None],
-        missed: Callable[[Machine], None],
+        replies: DirectReplies,
     ) -> None:
-        """`answered`: a worker answered a direct command with its status; `missed`: it did not."""
         self._term = term
         self._jobs = jobs
         self._cluster = cluster
         self._pending = pending
-        self._answered = answered
-        self._missed = missed
+        self._replies = replies
         self._gangs_complete: dict[JobRef, bool] = {}
         """Whether the placements of all members are on record, of gangs in the present message."""
 
@@ -236,11 +244,11 @@
                 pause = DIRECT_PAUSE_S * 2.0**machine.direct_misses
                 pause = min(MAX_DIRECT_PAUSE_S, pause)
                 machine.direct_after = Seconds(self._term.now + pause)
-                self._missed(machine)
+                self._replies.reply_missed(machine)
                 if reply.may_execute:
                     machine.pending_start_token = max(machine.pending_start_token, risked)
                 return
             machine.direct_misses = 0
-            self._answered(machine, reply.heartbeat)
+            self._replies.reply_received(machine, reply.heartbeat)
 
         return done
--- a/src/crosscleat/core/control/controller.py
+++ b/src/crosscleat/core/control/controller.py
@@ -35,8 +35,10 @@
 )
 from ..scheduling.sharding import plan
 from ..state.placement_records import chunk_length_for
+from .assembly import build_leader
 from .job_watch import JobWatch, StoredState, TakeoverRead
 from .leader import Leader
+from .takeover import load_records
 from .user_requests import UserRequests
 
 PROGRESS_S = 1.0
@@ -175,7 +177,7 @@
         # The tick may have ended the term.
         if self.leader is not None and now >= self._progress_at:
             self._progress_at = Seconds(now + PROGRESS_S)
-            counts = self.leader.progress()
+            counts = self.leader.progress.changed_counts()
             if counts:
                 self.users.update_progress(counts)
                 self._outbox.add(BroadcastProgress(counts))
@@ -223,7 +225,7 @@
     def _lead(self, stored: StoredState) -> None:
         """Begin a term with what earlier leaders left in the store."""
         self.upgrade.learn(stored.formats)
-        leader = Leader(
+        leader = build_leader(
             self.deployment,
             self.election,
             self._outbox,
@@ -234,8 +236,12 @@
             self.upgrade.complete,
         )
         leader.term.jobs_read(stored.read_at)
-        leader.load(
-            stored.live.items, stored.placement_records, stored.decommission_records, self._now
+        load_records(
+            leader,
+            stored.live.items,
+            stored.placement_records,
+            stored.decommission_records,
+            self._now,
         )
         self.leader = leader
         self._outbox.log("info", f"leading with {len(leader.jobs)} jobs")
--- /dev/null
+++ b/src/crosscleat/core/control/heartbeat_receiver.py
@@ -0,0 +1,72 @@
+"""Which heartbeats the leader answers, and what its answer renews."""
+
+from __future__ import annotations
+
+from ..capacity.machines import Machines
+from ..election.term import LeadingTerm
+from ..model.effects import Response
+from ..model.heartbeats import Heartbeat
+from ..model.ids import Seconds, Token
+from .commands import Commands
+from .heartbeat_processing import HIGHER_TOKEN_SEEN, HeartbeatProcessing
+from .liveness import ANSWERED_LEASES, Liveness
+from .pending_work import PendingWork
+
+
+class HeartbeatReceiver:
+    """Takes in the heartbeats that workers send, and answers each with commands."""
+
+    def __init__(
+        self,
+        term: LeadingTerm,
+        machines: Machines,
+        liveness: Liveness,
+        processing: HeartbeatProcessing,
+        commands: Commands,
+        pending: PendingWork,
+    ) -> None:
+        self._term = term
+        self._machines = machines
+        self._liveness = liveness
+        self._processing = processing
+        self._commands = commands
+        self._pending = pending
+
+    def receive(self, request: int, heartbeat: Heartbeat, now: Seconds, relayed: bool) -> None:
+        """Take in a heartbeat and answer it; `relayed`: it came through another controller."""
+        if not relayed:
+            self._liveness.reached(now)
+        if not self._may_answer(heartbeat, self._term.election.token, now):
+            self._refuse(request)
+            return
+        machine = self._machines.enter_reported(heartbeat)
+        if self._processing.is_outdated(machine, heartbeat):
+            # Late or repeated: the worker no longer waits for the answer and would drop it.
+            self._refuse(request)
+            return
+        self._liveness.check_answers_arrive(machine, heartbeat, now)
+        self._processing.apply(machine, heartbeat, is_reply=False)
+        self._liveness.heartbeat_received(now)
+        if not machine.confirmed:
+            self._pending.queue_heartbeat_requests([machine])
+        self._commands.answer(request, machine, now, heartbeat.heartbeat_id.sequence)
+        if now - machine.answered_at > ANSWERED_LEASES * self._term.deployment.lease_s:
+            # Heartbeats held up by a network partition arrive all at once, long after their
+            # workers stopped waiting for the answers.
+            machine.answered_from = now
+        machine.last_heard = machine.answered_at = now
+        shows_term = machine.shown_token >= self._term.began_token
+        machine.last_answer = now if shows_term else max(machine.last_answer, now)
+
+    def _may_answer(self, heartbeat: Heartbeat, token: Token | None, now: Seconds) -> bool:
+        """Whether our answer may renew this worker's lease."""
+        if token is None or now > self._term.renew_until():
+            return False
+        if heartbeat.token > token:
+            self._term.election.resign(HIGHER_TOKEN_SEEN)
+            return False
+        # A heartbeat of a deleted machine is an old one that was held up by the network.
+        return heartbeat.machine not in self._machines.tombstones
+
+    def _refuse(self, request: int) -> None:
+        self._term.outbox.add(Response(request, 503, retry_after_s=1))
--- /dev/null
+++ b/src/crosscleat/core/control/takeover.py
@@ -0,0 +1,62 @@
+"""How a new leader goes on from what earlier leaders left in the store."""
+
+from __future__ import annotations
+
+from ..model.ids import Seconds, TaskId
+from ..model.store_calls import Item
+from ..state.allocations import Allocation
+from ..state.job_records import is_cancelled
+from ..state.jobs import Job
+from .leader import Leader
+
+
+def load_records(
+    leader: Leader,
+    live: list[Item],
+    placement_records: list[Item],
+    decommission_records: list[Item],
+    now: Seconds,
+) -> None:
+    """Fill the state of a leader that has just been assembled.
+
+    `live` are the records of live jobs, the others those of placements and of decommissions.
+    """
+    for item in live:
+        job = leader.job_changes.read(item, now)
+        leader.jobs[job.ref] = job
+    if not (placement_records or decommission_records):
+        leader.autoscaler.expect_no_machines()
+    leader.placement_records.load(placement_records, leader.jobs)
+    leader.writer.remove(leader.placement_records.superseded())
+    for item, job in zip(live, list(leader.jobs.values()), strict=True):
+        job.loaded()
+        if job.begun:
+            job.idle_since = now
+        _load_allocations(leader, job, now)
+        if is_cancelled(item.value):
+            leader.job_changes.cancel(job)
+        elif job.gang:
+            leader.gangs.resume(job)
+        leader.pending.record_end_if_over(job)
+    for machine_id in leader.decommission_records.load(decommission_records):
+        machine = leader.machines.enter_recorded(machine_id)
+        machine.decommissioning = machine.decommission_recorded = True
+
+
+def _load_allocations(leader: Leader, job: Job, now: Seconds) -> None:
+    """Every placement on record may have been started by the earlier leader."""
+    for chunk in job.chunks.values():
+        for number, placed in chunk.placed.items():
+            machine = leader.machines.enter_recorded(placed.machine)
+            allocation = Allocation(
+                TaskId(job.ref, number),
+                placed.attempt,
+                job.spec,
+                machine.id,
+                machine.zone,
+                placed.agent_epoch,
+                recorded=True,
+                sent=True,
+                placed_at=now,
+            )
+            leader.cluster.add(machine, allocation)
--- /dev/null
+++ b/src/crosscleat/core/control/task_statuses.py
@@ -0,0 +1,95 @@
+"""What the task list of a heartbeat says of the attempts that were placed on its machine."""
+
+from __future__ import annotations
+
+from ..election.term import LeadingTerm
+from ..model import heartbeats
+from ..model.heartbeats import TaskStatus
+from ..model.ids import Attempt, JobRef, Seconds
+from ..scheduling.scoring import RunTimes
+from ..state.allocations import Allocation
+from ..state.jobs import Job
+from ..state.machine import Machine
+from .attempts import Attempts
+
+SLOW_START_S = 2.0
+"""Tasks that run later than that after their submission are logged."""
+
+FIRST_ATTEMPT = Attempt(1)
+
+
+class TaskStatuses:
+    """Reconciles allocations with what the newest heartbeat lists."""
+
+    def __init__(
+        self, term: LeadingTerm, jobs: dict[JobRef, Job], run_times: RunTimes, attempts: Attempts
+    ) -> None:
+        self._term = term
+        self._jobs = jobs
+        self._run_times = run_times
+        self._attempts = attempts
+
+    def reconcile(self, machine: Machine, allocation: Allocation, task: TaskStatus | None) -> None:
+        """Take in the status of one attempt; None: the newest heartbeat doesn't list it."""
+        if task is None:
+            allocation.listed = False
+            if allocation.stopping and not machine.may_still_start(allocation):
+                self._attempts.ended(machine, allocation)
+            return
+        allocation.listed = allocation.sent = True
+        if task.state == heartbeats.EXITED:
+            self._exited(machine, allocation, task)
+            return
+        allocation.state = task.state
+        job = self._jobs.get(allocation.task.job)
+        if job is not None and job.gang and task.state == heartbeats.WAITING:
+            job.progress.waits(self._term.now)
+        if task.state == heartbeats.RUNNING and allocation.running_since is None:
+            self._started_running(machine, allocation, job)
+
+    def _started_running(self, machine: Machine, allocation: Allocation, job: Job | None) -> None:
+        """The attempt is listed as running for the first time."""
+        now = self._term.now
+        allocation.running_since = now
+        machine.use_image(allocation.spec.image, allocation.spec.image_gb, now)
+        machine.images[allocation.spec.image] = min(now, machine.images[allocation.spec.image])
+        if job is None:
+            return
+        if job.gang:
+            job.progress.runs(now)
+        waited_s = now - job.submitted
+        if waited_s > SLOW_START_S and allocation.placed_at > self._term.began:
+            self._term.outbox.log(
+                "debug",
+                f"task {allocation.task} ({allocation.spec.job_class}) runs {waited_s:.1f} s "
+                f"after it was submitted, {now - allocation.placed_at:.1f} s after attempt "
+                f"{allocation.attempt} was placed on {machine.id}",
+            )
+
+    def _exited(self, machine: Machine, allocation: Allocation, task: TaskStatus) -> None:
+        cause = task.cause or ""
+        now = self._term.now
+        if cause == heartbeats.DONE:
+            self.learn_run_time(allocation, now)
+            machine.errors.clear()
+        job = self._jobs.get(allocation.task.job)
+        if job is not None and job.gang and task.saved:
+            job.progress.end_attempt(job.spec, now, saved=True)
+        self._attempts.ended(machine, allocation, cause)
+
+    def learn_run_time(self, allocation: Allocation, now: Seconds) -> None:
+        """Compare a completed run with its estimate, if this term saw all of it.
+
+        A gang runs as long as its slowest machine takes, and counts once, not once for each task.
+        """
+        whole = allocation.attempt == FIRST_ATTEMPT or allocation.spec.checkpoint_s <= 0
+        if (
+            allocation.running_since is None
+            or allocation.placed_at <= self._term.began
+            or not whole
+        ):
+            return
+        job = self._jobs.get(allocation.task.job)
+        if job is not None and job.gang and job.done_count:
+            return
+        self._run_times.learn(allocation.spec, now - allocation.running_since)
--- a/src/crosscleat/core/control/writer.py
+++ b/src/crosscleat/core/control/writer.py
@@ -8,7 +8,8 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
+from typing import Protocol
 
 from ..election.term import LeadingTerm
 from ..model.ids import JobRef, Seconds, Token, Version
@@ -39,6 +40,22 @@
 Result = Committed | Conflict | NoSuchLease | None
 
 
+class RecordListener(Protocol):
+    """Acts on what has been written (`write_outcomes.WriteOutcomes`)."""
+
+    def placements_recorded(self, job: Job, numbers: list[int]) -> None:
+        """The placements of the tasks with these numbers are on record: they may be started."""
+
+    def placements_void(self, job: Job) -> None:
+        """Placements of this job that are not on record never will be."""
+
+    def job_reread(self, live: Item) -> None:
+        """A job's live record as it is now, read after a conflict."""
+
+    def end_recorded(self, job: Job) -> None:
+        """The job's end is on record."""
+
+
 class Writer:
     """Writes the records of jobs, placements and decommissions."""
 
@@ -50,27 +67,15 @@
         placement_records: PlacementRecords,
         decommission_records: DecommissionRecords,
         pending: PendingWork,
-        recorded: Callable[[Job, list[int]], None],
-        void: Callable[[Job], None],
-        reread: Callable[[Item], None],
-        ended: Callable[[Job], None],
+        listener: RecordListener,
     ) -> None:
-        """What follows from a transaction is the leader's to do.
-
-        `recorded`: the placements of the tasks with these numbers are on record, so they may be
-        started; `void`: placements of this job that are not on record never will be; `reread`: a
-        job's live record as it is now; `ended`: the job's end is on record.
-        """
         self._term = term
         self._jobs = jobs
         self._cluster = cluster
         self._placement_records = placement_records
         self._decommission_records = decommission_records
         self._pending = pending
-        self._recorded = recorded
-        self._void = void
-        self._reread_item = reread
-        self._ended = ended
+        self._listener = listener
         self._obsolete: deque[tuple[str, Version]] = deque()
         """Keys and versions of records without content, to be removed."""
         self._deferred_written_at = term.now
@@ -201,14 +206,14 @@
         for job, chunk, recorded in batch.chunks:
             added = recorded - chunk.recorded
             chunk.recorded = recorded
-            self._recorded(
+            self._listener.placements_recorded(
                 job, [placement.number for placement in added if job.is_current(*placement)]
             )
         self._placement_records.written((job, chunk) for job, chunk, _ in batch.chunks)
         for job in batch.ended:
             del self._pending.ending[job.ref]
             self._placement_records.forget(job)
-            self._ended(job)
+            self._listener.end_recorded(job)
         self.remove(self._placement_records.superseded())
 
     def _void_cancelled(self, batch: Batch, failed: frozenset[str]) -> None:
@@ -222,7 +227,7 @@
         for job in batch.jobs:
             if live_key(job.ref) not in failed:
                 continue
-            self._void(job)
+            self._listener.placements_void(job)
             if batch.conditions[live_key(job.ref)] == job.version:
                 job.needs_reread = True
                 self._reread(job)
@@ -235,7 +240,7 @@
     def _reread(self, job: Job) -> None:
         def live_read(found: Found | None) -> None:
             if found is not None and found.item is not None:
-                self._reread_item(found.item)
+                self._listener.job_reread(found.item)
             elif not self._term.retired and self._jobs.get(job.ref) is job and job.needs_reread:
                 self._reread(job)
 
--- a/tests/term.py
+++ b/tests/term.py
@@ -4,7 +4,8 @@
 
 from random import Random
 
-from crosscleat.core.control.leader import Leader
+from crosscleat.core.control.assembly import build_leader
+from crosscleat.core.control.takeover import load_records
 from crosscleat.core.election.election import Election
 from crosscleat.core.model.effects import Effect, Outbox
 from crosscleat.core.model.heartbeats import Heartbeat, TaskStatus
@@ -45,14 +46,14 @@
         election.token = Token(TOKEN)
         election.contact = BEGAN
         types = {kind.name: kind for kind in TYPES}
-        self.leader = Leader(
+        self.leader = build_leader(
             deployment("c0"), election, self.out, Random(1), types, BEGAN, WallTime(0.0)
         )
-        self.leader.load(live or [], work or [], [], BEGAN)
+        load_records(self.leader, live or [], work or [], [], BEGAN)
 
     def step(self, seconds: float) -> None:
         self.now = self.leader.term.now = Seconds(self.now + seconds)
-        self.leader.election.contact = self.leader.term.watched = self.now
+        self.leader.term.election.contact = self.leader.term.watched = self.now
 
     def heartbeat(
         self,
--- a/tests/test_gang_attempts.py
+++ b/tests/test_gang_attempts.py
@@ -97,7 +97,7 @@
     term.hear((1, 4))
     assert gang.placed_count() == 2, "it may be carried out yet"
     # Only a higher token that the worker has seen rules that out.
-    term.leader.election.token = Token(TOKEN + 5)
+    term.leader.term.election.token = Token(TOKEN + 5)
     term.hear((1, 5), token=TOKEN + 5)
     assert gang.placed_count() == 0 and gang.waiting_count() == 2
 
--- a/tests/test_gang_progress.py
+++ b/tests/test_gang_progress.py
@@ -54,6 +54,6 @@
         allocation.spec, allocation.attempt = checkpoints, Attempt(attempt)
         allocation.running_since = Seconds(term.now - 20.0)
         allocation.placed_at = Seconds(term.leader.term.began + 0.1)
-        term.leader._learn_run_time(allocation, term.now)
+        term.leader.task_statuses.learn_run_time(allocation, term.now)
         gang.done_count += 1
     assert term.leader.run_times.estimate(gang.spec) == pytest.approx(30.0 * learned)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -11,7 +11,8 @@
 
 from crosscleat.core.capacity.fleet import MAX_PER_RENTAL, MAX_PRICED, Fleet, Space
 from crosscleat.core.capacity.machines import Machines
-from crosscleat.core.control.leader import MAX_COUNTS, WATCHED_PER_S
+from crosscleat.core.control.leader import WATCHED_PER_S
+from crosscleat.core.control.progress import MAX_COUNTS
 from crosscleat.core.control.scheduler import PROMPT_MACHINES
 from crosscleat.core.model.deployment import TeamLimits, TuningOptions
 from crosscleat.core.model.effects import ShardRequest
@@ -210,7 +211,7 @@
     for number in range(MAX_COUNTS + 10):
         ref = JobRef(f"job-{number:06d}")
         term.leader.jobs[ref] = Job(job(ref), Version(1), term.now)
-    assert [len(term.leader.progress()) for _ in range(3)] == [MAX_COUNTS, 10, 0]
+    assert [len(term.leader.progress.changed_counts()) for _ in range(3)] == [MAX_COUNTS, 10, 0]
 
 
 def test_a_message_too_long_for_any_receiver_is_not_framed() -> None:
@@ -237,7 +238,7 @@
         chunk.recorded = chunk.entered()
     found = counted(monkeypatch, ClusterState, "find")
     unrecorded = counted(monkeypatch, Chunk, "unrecorded")
-    term.leader._on_record(gang, list(range(spec.tasks)))
+    term.leader.write_outcomes.placements_recorded(gang, list(range(spec.tasks)))
     term.leader.commands.send_direct(term.now)
     assert sum(len(e.orders) for e in term.out.take() if isinstance(e, DirectCommand)) == spec.tasks
     assert found[0] <= 2 * spec.tasks
--- a/tests/test_task_reports.py
+++ b/tests/test_task_reports.py
@@ -43,7 +43,7 @@
     assert isinstance(answer, HeartbeatResponse)
     assert any(isinstance(order, ClearOrder) for order in answer.orders) == cleared
     # A higher token rules the repeat out.
-    term.leader.election.token = Token(TOKEN + 5)
+    term.leader.term.election.token = Token(TOKEN + 5)
     (answer,) = term.hear((1, 5), token=TOKEN + 5, tasks=(ended,))
     assert isinstance(answer, HeartbeatResponse)
     assert any(isinstance(order, ClearOrder) for order in answer.orders)
