--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -88,11 +88,11 @@
 ]
 
 
-def test_every_field_of_a_check_in_is_read() -> None:
+def test_every_field_of_a_heartbeat_is_read() -> None:
     assert workers.parse_heartbeat(pack(CHECK_IN)) == REPORT
 
 
-def test_the_optional_fields_of_a_check_in_may_be_missing() -> None:
+def test_the_optional_fields_of_a_heartbeat_may_be_missing() -> None:
     pick = {"pick": "job-1/4", "try": 2, "status": "exited"}
     body = {name: CHECK_IN[name] for name in CHECK_IN if name != "recall_s"}
     task = REPLACE(REPORT.tasks[0], cause=None, saved=False)
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("name", [name for name in CHECK_IN if name != "recall_s"])
-def test_every_other_field_of_a_check_in_must_be_there(name: str) -> None:
+def test_every_other_field_of_a_heartbeat_must_be_there(name: str) -> None:
     body = {other: CHECK_IN[other] for other in CHECK_IN if other != name}
     assert workers.parse_heartbeat(pack(body)) is None
 
@@ -139,7 +139,7 @@
 )
 
 
-def test_the_answer_to_a_check_in_is_written() -> None:
+def test_the_response_to_a_heartbeat_is_written() -> None:
     written = workers.answer(Token(41), ORDERS).hex()
     assert written == "82a56261746f6e29" + WRITTEN_ORDERS
 
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -52,7 +52,7 @@
 
 
 @seeds
-def test_a_report_held_back_until_a_new_leader_has_acted(seed: int) -> None:
+def test_a_heartbeat_delayed_until_a_new_leader_has_acted(seed: int) -> None:
     world = world_of(seed)
     for name in busy(world):
         for member in MEMBERS:
@@ -177,9 +177,7 @@
 
 @seeds
 @pytest.mark.parametrize("outage_s", [0.0, 4.0])
-def test_tasks_of_a_job_that_end_far_apart_across_a_change_of_leader(
-    seed: int, outage_s: float
-) -> None:
+def test_tasks_of_a_job_that_end_far_apart_across_a_failover(seed: int, outage_s: float) -> None:
     world = world_of(seed, jobs=0)
     for number in range(4):
         world.users.submit(job(f"job-{number}", tasks=2 + number % 2, cpus=1.0, estimate_s=16.0))
@@ -195,7 +193,7 @@
 
 
 @seeds
-def test_more_work_than_room_over_slow_links(seed: int) -> None:
+def test_more_work_than_capacity_over_slow_links(seed: int) -> None:
     world = world_of(seed, jobs=0)
     world.network.slow_s = 1.5
     for number in range(24):
@@ -322,7 +320,7 @@
 
 
 @seeds
-def test_old_reports_after_newer_ones_of_earlier_sessions_and_attempts(seed: int) -> None:
+def test_old_heartbeats_after_newer_ones_of_earlier_agent_epochs_and_attempts(seed: int) -> None:
     world = world_of(seed, estimate_s=10.0)
     world.copies = 0.7
     for number in range(6):
@@ -343,7 +341,7 @@
 
 @seeds
 @pytest.mark.parametrize("trouble", ["unreached", "unheard"])
-def test_a_leader_ends_while_machines_with_long_tasks_do_not_hear_the_next(
+def test_a_leader_ends_while_machines_with_long_tasks_are_cut_off_from_the_next(
     seed: int, trouble: str
 ) -> None:
     world = world_of(seed, jobs=2, estimate_s=200.0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,7 +11,7 @@
 from .world import TEAMS, TYPES
 
 
-def test_one_batch_houses_all_that_waits_when_there_is_hardly_any_room() -> None:
+def test_one_rental_holds_all_waiting_tasks_when_free_capacity_is_scarce() -> None:
     jobs = [waiting(0.5, tasks=4, cpus=1.0) for _ in range(5)]
     found = want(fleet(), jobs)
     assert found is not None and found.pool.spot
@@ -19,14 +19,14 @@
     assert found.count * size >= 20
 
 
-def test_a_passing_burst_rents_nothing_where_there_is_room_enough_beside_it() -> None:
+def test_a_passing_burst_rents_nothing_if_free_capacity_suffices() -> None:
     made = fleet()
     busy = full(10)
     assert want(made, [waiting(0.5, tasks=4)], busy) is None
     assert want(made, [waiting(30.0, tasks=4)], busy) is not None, "it has waited for long"
 
 
-def test_dear_machines_are_not_rented_for_what_they_cannot_bring_in_on_time() -> None:
+def test_expensive_machines_are_not_rented_for_work_they_cannot_finish_in_time() -> None:
     made = fleet()
     refuse_cheap(made)
     busy = full(10)
@@ -38,14 +38,14 @@
     assert ordinary is not None and not ordinary.pool.spot, "it has no cheap ones to wait for"
 
 
-def test_tasks_count_on_room_that_is_there_or_boots() -> None:
+def test_tasks_count_on_capacity_that_is_free_or_boots() -> None:
     booting = Machine(MachineId("m-0"), TYPES[1], Zone("a"), True, created_at=Seconds(NOW - 3.0))
     assert want(fleet(), [waiting(30.0, tasks=4, cpus=2.0)], [booting]) is None
     found = want(fleet(), [waiting(30.0, tasks=6, cpus=2.0)], [booting])
     assert found == ScaleOutRequest(PoolKey(TypeName("small"), Zone("a"), True), 1)
 
 
-def test_a_machine_that_boots_for_unusually_long_is_no_room() -> None:
+def test_a_machine_that_boots_for_unusually_long_is_no_free_capacity() -> None:
     late = Machine(MachineId("m-0"), TYPES[1], Zone("a"), True, created_at=Seconds(NOW - 12.0))
     work = [waiting(30.0, tasks=4, cpus=2.0)]
     assert want(fleet(), work, [late]) is not None
@@ -53,7 +53,7 @@
     assert want(fleet(), work, [late]) is None, "it is up, only not heard of in this term"
 
 
-def test_idle_dear_machines_are_returned_before_the_warm_room_on_cheap_ones() -> None:
+def test_idle_expensive_machines_are_returned_before_warm_capacity_on_spot_ones() -> None:
     made = fleet()
     cheap = Machine(MachineId("m-0"), TYPES[1], Zone("a"), True)
     is_expensive = Machine(MachineId("m-1"), TYPES[1], Zone("a"), False)
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -139,7 +139,7 @@
     ),
     st.integers(1, 2**60),
 )
-def test_a_report_is_read_with_states_unknown_to_us(tasks: Any, sequence: int) -> None:
+def test_a_heartbeat_with_unknown_states_is_read(tasks: Any, sequence: int) -> None:
     body = {
         "box": "m-1", "addr": "10.1.0.1:9000", "rig": "r", "yard": "a", "loaners": True,
         "shift": 2, "tally": sequence, "baton": 7, "weather": "fine",
@@ -161,7 +161,7 @@
     assert isinstance(ensemble, JobSpec) and ensemble.shape is Shape.GANG
 
 
-def test_a_gangs_report_says_what_waits_and_what_was_saved() -> None:
+def test_a_gangs_heartbeat_says_what_waits_and_what_was_saved() -> None:
     picks = [
         {"pick": "job-g/0", "try": 3, "status": "waiting"},
         {"pick": "job-g/1", "try": 3, "status": "exited", "cause": "stopped", "saved": True},
--- a/tests/test_gang_attempts.py
+++ b/tests/test_gang_attempts.py
@@ -16,7 +16,7 @@
 from .world import job
 
 
-def test_a_gang_one_of_whose_tasks_rests_is_not_tried_in_part() -> None:
+def test_a_gang_with_a_task_in_backoff_is_not_placed() -> None:
     gang = waiting("job-g", tasks=2, cpus=1.0, shape=Shape.GANG, team=Team("blue"))
     fleet = [machine("m-0")]
     assert len(plan([gang], fleet)) == 2
@@ -39,7 +39,7 @@
     assert {gang.place(one.id, one.heartbeat_id.agent_epoch)[1] for _ in range(3)} == {3}
 
 
-def test_no_start_is_sent_while_a_place_is_not_on_record() -> None:
+def test_no_start_is_sent_before_all_allocations_are_recorded() -> None:
     term = gang_term()
     gang = term.leader.jobs[JobRef("job-g")]
     one = next(iter(term.leader.cluster.machines.values()))
@@ -54,7 +54,7 @@
     assert len(starts_for(term, one)) == 2
 
 
-def test_a_gang_takes_no_place_if_one_of_its_places_is_gone() -> None:
+def test_a_gang_gets_no_allocation_if_one_of_its_machines_is_not_up() -> None:
     term = gang_term(tasks=3)
     gang = term.leader.jobs[JobRef("job-g")]
     one = next(iter(term.leader.cluster.machines.values()))
@@ -66,7 +66,7 @@
     assert term.leader.cluster.team_cpus.get("red", 0.0) == 0.0
 
 
-def test_all_are_told_to_save_at_once() -> None:
+def test_all_gang_members_are_stopped_at_once_with_time_for_a_checkpoint() -> None:
     term = gang_term()
     gang = term.leader.jobs[JobRef("job-g")]
     one = next(iter(term.leader.cluster.machines.values()))
@@ -79,7 +79,7 @@
     assert not any(isinstance(effect, Response) for effect in term.out.take())
 
 
-def test_a_start_that_was_lost_keeps_its_place_until_it_can_come_no_more() -> None:
+def test_a_lost_start_keeps_its_allocation_until_it_cannot_arrive_any_more() -> None:
     term = gang_term()
     gang = term.leader.jobs[JobRef("job-g")]
     one = next(iter(term.leader.cluster.machines.values()))
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("on_record", [1, 2])
-def test_a_new_leader_goes_on_with_a_gang_only_if_all_of_it_is_on_record(on_record: int) -> None:
+def test_a_new_leader_continues_a_gang_only_if_all_of_it_is_recorded(on_record: int) -> None:
     term = taken_over(on_record)
     one = term.leader.cluster.machines[MachineId("m-0")]
     if on_record == 1:
--- a/tests/test_gang_notices.py
+++ b/tests/test_gang_notices.py
@@ -7,7 +7,7 @@
 from .gangs import notice, placed_on_two, places, reported, running_on_two, stops
 
 
-def test_a_notice_stops_all_of_a_running_gang_with_the_time_to_save() -> None:
+def test_a_reclaim_notice_stops_a_running_gang_with_time_for_a_checkpoint() -> None:
     term, gang = running_on_two()
     notice(term, "m-1", 4, 8.0, (reported(1, "running"),))
     assert stops(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
@@ -17,19 +17,19 @@
     assert gang.progress.stopped_at == term.now
 
 
-def test_a_notice_lets_a_gang_go_on_that_ends_in_time() -> None:
+def test_a_reclaim_notice_does_not_stop_a_gang_that_ends_in_time() -> None:
     term, _ = running_on_two(estimate_s=5.0)
     notice(term, "m-1", 4, 8.0, (reported(1, "running"),))
     assert stops(term) == {}
 
 
-def test_a_notice_too_short_to_save_stops_without_grace() -> None:
+def test_a_reclaim_notice_too_short_for_a_checkpoint_stops_without_grace() -> None:
     term, _ = running_on_two(save_s=7.5)
     notice(term, "m-1", 4, 8.0, (reported(1, "running"),))
     assert stops(term) == {"job-g/0": 0.0, "job-g/1": 0.0}
 
 
-def test_a_gang_waits_for_a_machine_that_cannot_be_told_while_the_notice_lasts() -> None:
+def test_a_gang_stop_waits_for_an_unreachable_machine_while_the_reclaim_notice_lasts() -> None:
     term, _ = running_on_two()
     far = term.leader.cluster.machines[MachineId("m-0")]
     far.direct_after = Seconds(term.now + 100.0)
@@ -43,7 +43,7 @@
     assert stops(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
 
 
-def test_at_the_last_useful_moment_of_a_notice_the_gang_ends_unsaved() -> None:
+def test_at_the_last_useful_moment_of_a_reclaim_notice_the_gang_ends_unsaved() -> None:
     term, _ = running_on_two()
     far = term.leader.cluster.machines[MachineId("m-0")]
     far.direct_after, far.unresponsive_since = Seconds(term.now + 100.0), term.now
@@ -54,7 +54,7 @@
     assert stops(term) == {"job-g/0": 0.0, "job-g/1": 0.0}
 
 
-def test_a_notice_moves_the_task_of_a_waiting_gang() -> None:
+def test_a_reclaim_notice_moves_the_tasks_of_a_waiting_gang() -> None:
     term, gang = placed_on_two(tasks=3)
     term.hear((1, 1), machine="m-2")
     notice(term, "m-1", 4, 8.0, (reported(1, "fetching"), reported(2, "fetching")))
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -20,14 +20,14 @@
 from .world import GANG_WAIT_S, TEAMS, deployment
 
 
-def test_a_round_takes_the_zone_that_has_room_for_all() -> None:
+def test_a_gang_gets_the_zone_that_fits_all_its_tasks() -> None:
     gang = waiting("job-g", tasks=4, cpus=2.0, shape=Shape.GANG, one_zone=True, team=Team("blue"))
     fleet = [machine("m-0", 0, "a"), machine("m-1", 0, "b"), machine("m-2", 0, "b")]
     assert {choice.machine for choice in plan([gang], fleet)} == {"m-1", "m-2"}
     assert plan([gang], [machine("m-0", 0, "a"), machine("m-1", 0, "b")]) == []
 
 
-def test_a_gang_that_waits_gets_places_that_small_work_would_take_one_by_one() -> None:
+def test_a_waiting_gang_reserves_capacity_that_small_tasks_would_take() -> None:
     gang = waiting("job-g", tasks=4, cpus=2.0, shape=Shape.GANG, one_zone=True, team=Team("blue"))
     small = waiting("job-s", tasks=8, cpus=1.0, team=Team("blue"))
     half = machine("m-0")
@@ -80,7 +80,7 @@
     assert {by_id[c.machine] for c in found} == zones
 
 
-def test_a_gang_that_no_zone_can_hold_keeps_no_machine_from_others() -> None:
+def test_a_gang_that_fits_no_zone_reserves_no_machine() -> None:
     gang = waiting("job-g", tasks=5, cpus=4.0, shape=Shape.GANG, one_zone=True, team=Team("blue"))
     gang.submitted = Seconds(gang.submitted - 30.0)
     small = waiting("job-s", tasks=12, cpus=1.0)
@@ -97,7 +97,7 @@
     return {choice.machine for choice in found}
 
 
-def test_arrays_are_kept_off_the_last_ordinary_room_of_one_zone() -> None:
+def test_arrays_leave_the_on_demand_reserve_of_one_zone_free() -> None:
     fleet = [machine(f"m-{n}", 1, zone, spot=False) for n, zone in enumerate("aab")]
     small = waiting("job-s", tasks=12, cpus=1.0)
     assert with_ordinary_reserve([small], fleet, 0.0) == {"m-0", "m-1"}
@@ -112,14 +112,14 @@
     assert with_ordinary_reserve([small], fleet[:1], 8.0) == {"m-0"}, "none waits for ever"
 
 
-def test_the_ordinary_room_is_kept_on_small_machines_first() -> None:
+def test_the_on_demand_reserve_is_kept_on_small_machines_first() -> None:
     fleet = [machine("m-0", 1, "a", spot=False), machine("m-1", 0, "a", spot=False)]
     small = waiting("job-s", tasks=2, cpus=1.0)
     assert with_ordinary_reserve([small], fleet, 4.0) == {"m-0"}
 
 
 @pytest.mark.parametrize(("waited_s", "held_by_gang"), [(0.2, False), (10.0, False), (10.0, True)])
-def test_a_gang_that_is_due_goes_into_room_reserved_for_arrays(
+def test_a_gang_that_goes_first_uses_capacity_reserved_for_arrays(
     waited_s: float, held_by_gang: bool
 ) -> None:
     """Seen: one waited 60 s beside room that a job of large tasks had reserved."""
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("waited_s", [0.2, 10.0])
-def test_a_gang_that_is_due_goes_into_room_left_to_urgent_work(waited_s: float) -> None:
+def test_a_gang_that_goes_first_uses_the_urgent_reserve(waited_s: float) -> None:
     gang = waiting("job-g", tasks=4, cpus=1.0, shape=Shape.GANG, team=Team("blue"))
     gang.submitted = Seconds(NOW - waited_s)
     assert len(plan([gang], [machine("m-0")], reserve=6.0)) == (4 if waited_s > 1.0 else 0)
--- a/tests/test_gang_progress.py
+++ b/tests/test_gang_progress.py
@@ -35,7 +35,7 @@
     assert progress.saved_s == 20.0
 
 
-def test_what_is_left_to_run_counts_from_saved_progress() -> None:
+def test_remaining_run_time_counts_from_the_checkpoint() -> None:
     gang = waiting("job-g", shape=Shape.GANG, estimate_s=60.0, checkpoint_s=10.0)
     scorer = Scorer(deployment("c0"), RunTimes())
     assert scorer.remaining_s(gang) == 60.0
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("attempt, learned", [(1, (2.0 + 2.0 / 3.0) / 3.0), (2, 1.0)])
-def test_a_gang_teaches_its_run_time_once_and_only_by_a_whole_run(
+def test_a_gang_run_time_is_learnt_once_and_only_from_a_whole_run(
     attempt: int, learned: float
 ) -> None:
     """One observation of 20 of 30 s, beside two pretended ones of 1.0."""
--- a/tests/test_gang_replacement.py
+++ b/tests/test_gang_replacement.py
@@ -30,7 +30,7 @@
     assert [(o.task, o.attempt) for o in starts] == [("job-g/1", 1)]
 
 
-def test_the_place_where_a_task_was_lost_is_not_used_again() -> None:
+def test_a_machine_that_lost_a_task_of_the_gang_is_not_used_again() -> None:
     term, gang = placed_on_two()
     term.hear((1, 3), machine="m-1", tasks=(reported(1, "exited", "no_room"),))
     term.step(1.0)
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("state", ["running", "waiting"])
-def test_a_gang_that_runs_ends_with_its_lost_task(state: str) -> None:
+def test_a_running_gang_ends_when_it_loses_a_task(state: str) -> None:
     term, gang = placed_on_two()
     term.hear((1, 1), machine="m-2")
     term.hear((1, 3), tasks=(reported(0, state),))
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("cause", ["error", "mates_gone", "incomplete", "done", "never heard of"])
-def test_only_a_loss_that_says_nothing_against_the_attempt_is_replaced(cause: str) -> None:
+def test_only_a_task_lost_for_a_harmless_cause_is_replaced(cause: str) -> None:
     term, _ = placed_on_two()
     term.hear((1, 1), machine="m-2")
     term.hear((1, 3), machine="m-1", tasks=(reported(1, "exited", cause),))
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -24,7 +24,7 @@
 
 
 @seeds
-def test_a_gang_that_loses_a_machine_is_placed_anew_whole(seed: int) -> None:
+def test_a_gang_that_loses_a_machine_is_placed_again_as_a_whole(seed: int) -> None:
     world = with_gangs(seed, estimate_s=20.0, count=1)
     assert running(world, "job-0") == 3
     host = next(w for w in world.workers.values() if w.tasks)
@@ -37,7 +37,7 @@
 
 @seeds
 @pytest.mark.parametrize("hang_s", [4.0, LEASE_S + 4.0])
-def test_a_gang_one_of_whose_machines_hangs(seed: int, hang_s: float) -> None:
+def test_a_gang_finishes_after_one_of_its_machines_hangs(seed: int, hang_s: float) -> None:
     world = with_gangs(seed, estimate_s=20.0, count=2)
     next(w for w in world.workers.values() if w.tasks).hang(hang_s)
     world.clock.advance(hang_s + 2.0)
@@ -47,7 +47,7 @@
 
 @seeds
 @pytest.mark.parametrize("after_s", [0.0, 0.4, 1.2, 3.0, 8.0])
-def test_a_new_leader_goes_on_with_gangs_as_it_finds_them(seed: int, after_s: float) -> None:
+def test_a_new_leader_continues_gangs_in_any_state(seed: int, after_s: float) -> None:
     world = World(seed)
     world.clock.advance(12.0)
     world.users.submit(job("job-0", tasks=4, estimate_s=8.0, team=Team("blue"), shape=Shape.GANG))
@@ -61,7 +61,7 @@
 
 
 @seeds
-def test_what_runs_is_not_repeated_by_a_change_of_leader(seed: int) -> None:
+def test_a_failover_repeats_no_running_task(seed: int) -> None:
     world = with_gangs(seed, estimate_s=40.0, count=1)
     assert running(world, "job-0") == 3
     started = world.started
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_starts_of_a_former_attempt_that_come_late_meet_no_other(seed: int) -> None:
+def test_late_starts_of_a_former_attempt_meet_no_other_attempt(seed: int) -> None:
     """Direct starts are held up for seconds; meanwhile a part of the gang is lost, and all of it is
     placed anew elsewhere: only what can't start any more is proven gone."""
     world = with_gangs(seed, estimate_s=8.0, count=1)
@@ -91,7 +91,7 @@
 
 
 @seeds
-def test_a_cancelled_gang_is_gone_in_time(seed: int) -> None:
+def test_a_cancelled_gang_ends_in_time(seed: int) -> None:
     world = with_gangs(seed, estimate_s=100.0, count=1)
     for name in [n for n, w in world.workers.items() if w.tasks][:1]:
         for member in MEMBERS:
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -47,7 +47,7 @@
     assert not health.is_cut_off(), "nobody has said for a while that it is served"
 
 
-def test_an_outage_of_all_leaves_everybody_ready(clock: Time) -> None:
+def test_a_store_outage_for_all_leaves_every_controller_ready(clock: Time) -> None:
     since = clock.now
     health = Health(Store(clock, since))
     # The other finds out a second later than we do.
@@ -59,13 +59,13 @@
         assert not health.is_cut_off()
 
 
-def test_who_is_served_is_ready_whatever_others_say(clock: Time) -> None:
+def test_a_controller_with_store_is_ready_whatever_its_peers_report(clock: Time) -> None:
     health = Health(Store(clock))
     health.receive_ping("c1", Ping(served=True))
     assert not health.is_cut_off()
 
 
-def test_who_hears_neither_store_nor_controllers_sends_users_away(clock: Time) -> None:
+def test_a_controller_without_store_and_peers_sends_users_away(clock: Time) -> None:
     since = clock.now
     health = Health(Store(clock, since))
     for _ in range(8):
@@ -81,7 +81,7 @@
     assert not alone.is_cut_off(), "there is nobody else to send them to"
 
 
-def test_who_is_served_and_hears_nobody_takes_requests(clock: Time) -> None:
+def test_a_controller_with_store_but_without_peers_takes_requests(clock: Time) -> None:
     health = Health(Store(clock))
     clock.now += 100.0
     assert not health.is_cut_off()
--- a/tests/test_interruptions.py
+++ b/tests/test_interruptions.py
@@ -53,7 +53,7 @@
     assert not at_risk(often, estimate_s=45.0, checkpoint_s=10.0, save_s=1.0)
 
 
-def test_a_wave_of_losses_says_little_of_the_usual_rate() -> None:
+def test_a_burst_of_interruptions_says_little_of_the_usual_rate() -> None:
     stats = seen(per_hour=0.2)
     before = stats.rate
     for _ in range(80):
@@ -62,7 +62,7 @@
     assert before < stats.rate <= before + MAX_AT_ONCE / 10_000.0
 
 
-def test_work_at_risk_takes_ordinary_machines_and_leaves_cheap_ones_to_other_work() -> None:
+def test_work_at_risk_takes_on_demand_machines_and_leaves_spot_ones_to_other_work() -> None:
     machines = [
         Machine(MachineId(f"m-{'cheap' if spot else 'ordinary'}"), TYPES[1], Zone("a"), spot)
         for spot in (True, False)
@@ -77,7 +77,7 @@
         assert [choice.machine for choice in planned] == [expected]
 
 
-def test_ordinary_machines_are_kept_for_what_is_nearly_always_at_risk() -> None:
+def test_on_demand_machines_are_kept_for_work_that_is_nearly_always_at_risk() -> None:
     made = Fleet(
         TuningOptions(headroom=0.0, swings=0.0), lambda _: 60.0, lambda job: job.spec.estimate_s
     )
--- a/tests/test_isolated.py
+++ b/tests/test_isolated.py
@@ -45,7 +45,7 @@
     assert running(busy, "job-long") == 0
 
 
-def test_a_leader_that_hears_no_worker_resigns_and_deletes_none(busy: World) -> None:
+def test_a_leader_without_heartbeats_resigns_and_deletes_no_machine(busy: World) -> None:
     old = leader_of(busy)
     for worker in list(busy.workers):
         busy.network.cut(old, worker, "hold")
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("cut", [False, True])
-def test_a_living_leader_that_its_peers_take_for_gone(busy: World, cut: bool) -> None:
+def test_a_live_leader_that_its_peers_believe_dead(busy: World, cut: bool) -> None:
     """Seen in incident inc-2b0c: a filter between controllers refused connections, and the
     followers ended the lease of a leader that lived, and whose workers it still reached."""
     former, started = leader_of(busy), busy.started
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -49,7 +49,7 @@
     assert leader.run_times.estimate(spec) == 100.0
 
 
-def test_an_old_report_changes_nothing() -> None:
+def test_an_old_heartbeat_changes_nothing() -> None:
     leader = inherit()
     leader.receive_heartbeat(1, heartbeat(5, "running"), Seconds(50.5), relayed=False)
     leader.receive_heartbeat(2, heartbeat(4, "exited", "done"), Seconds(50.6), relayed=False)
@@ -73,14 +73,14 @@
     assert starts(term.hear((1, 3))) == 1
 
 
-def test_a_start_goes_to_the_session_that_it_was_placed_in_alone() -> None:
+def test_a_start_is_sent_only_to_the_agent_epoch_of_its_placement() -> None:
     term = Term(*held(agent_epoch=1))
     # A later session, without our token: perhaps the end of what was placed, not proven yet.
     assert starts(term.hear((2, 1), token=TOKEN - 1)) == 0
     assert term.leader.cluster.machines[MachineId("m-0")].allocations
 
 
-def test_a_deletion_is_on_record_before_it_is_sent() -> None:
+def test_a_deletion_is_recorded_before_it_is_sent() -> None:
     term = Term()
     term.hear((1, 1))
     machine = term.leader.cluster.machines[MachineId("m-0")]
--- a/tests/test_leader_without_workers.py
+++ b/tests/test_leader_without_workers.py
@@ -11,7 +11,7 @@
 from .world import LEASE_S, TYPES
 
 
-def test_a_leader_whom_no_worker_can_reach_lets_a_follower_lead() -> None:
+def test_a_leader_that_no_worker_reaches_resigns() -> None:
     term = Term()
     listed = [
         ListedMachine(MachineId(f"m-{n}"), f"m-{n}", TYPES[1].name, Zone("a"), True, "running", 9)
@@ -36,7 +36,7 @@
     assert term.lost == ["no worker reaches us"]
 
 
-def test_a_leader_of_many_machines_notices_soon_that_it_hears_none() -> None:
+def test_a_leader_of_many_machines_resigns_soon_without_heartbeats() -> None:
     term = Term()
     types = term.leader.fleet.types
     for n in range(100):
@@ -54,7 +54,7 @@
     assert term.lost == ["no worker reaches us"]
 
 
-def test_a_leader_whose_answers_reach_no_worker_returns_none_and_resigns() -> None:
+def test_a_leader_whose_responses_reach_no_worker_resigns_and_returns_no_machine() -> None:
     term = Term()
     for n in range(10):
         one = Machine(MachineId(f"m-{n}"), TYPES[0], Zone("a"), True)
@@ -95,7 +95,7 @@
     return greeted
 
 
-def test_a_leader_that_workers_answer_waits_for_them_to_find_it() -> None:
+def test_a_leader_that_workers_answer_waits_for_their_heartbeats() -> None:
     # All were with a controller that ended; each takes up to 5 s to turn to another.
     term = busy_term(100)
     assert seconds_alone(term, 4.5, answers=True) > 0
@@ -111,7 +111,7 @@
     assert term.lost[:1] == ["no worker reaches us"]
 
 
-def test_a_new_leader_greets_its_machines_a_few_at_a_time_those_with_room_first() -> None:
+def test_a_new_leader_requests_heartbeats_in_batches_with_free_machines_first() -> None:
     live, work = held(agent_epoch=1)
     term = Term(live, work)
     listed = [
--- a/tests/test_partitioning.py
+++ b/tests/test_partitioning.py
@@ -56,7 +56,7 @@
     st.lists(st.floats(0.0, 8.0), min_size=1, max_size=6),
     st.floats(0.0, 14.0),
 )
-def test_all_parts_together_keep_to_the_limits(
+def test_all_shards_together_respect_the_quotas(
     asked: list[tuple[int, float, str]], used: list[float], red: float
 ) -> None:
     cluster = ClusterState()
@@ -92,7 +92,7 @@
         assert taken[team] <= max(limits.cpus_max, red if team == "red" else 0.0) + 1e-6
 
 
-def test_without_a_proposal_in_time_the_leader_plans_the_part_itself() -> None:
+def test_without_a_proposal_in_time_the_leader_plans_the_shard_itself() -> None:
     term = Term([live(ref) for ref in refs_of("c1", 2)])
     leader = term.leader
     term.hear((1, 1))
@@ -118,7 +118,7 @@
     assert leader.jobs[JobRef(late)].placed_count() == 1
 
 
-def test_a_proposal_counts_as_far_as_it_still_holds() -> None:
+def test_a_shard_proposal_counts_as_far_as_it_is_still_valid() -> None:
     mine, others = refs_of("c1", 2), refs_of("c2", 1)
     term = Term([live(ref) for ref in (*mine, *others)])
     leader = term.leader
@@ -138,7 +138,7 @@
     assert leader.jobs[JobRef(mine[0])].placed_count() == 1, "a repeat has no effect"
 
 
-def test_an_owner_leaves_alone_what_is_kept_for_others_large_tasks() -> None:
+def test_a_shard_owner_leaves_reservations_of_other_shards_alone() -> None:
     machine = Machine(MachineId("m-0"), TYPES[1], Zone("a"), True)
     machine.used_cpus = 4.0
     small = Job(job("job-1", tasks=1, cpus=1.0), Version(1), NOW)
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -63,7 +63,7 @@
     return waiting("job-u", tasks=tasks, cpus=cpus, **{**given, **changes})
 
 
-def test_no_more_is_stopped_than_the_more_urgent_work_needs() -> None:
+def test_no_more_is_preempted_than_the_more_urgent_work_needs() -> None:
     # The operators' guests held 3,000 of 5,500 CPUs for minutes while all other work waited.
     cluster = Cluster(2)
     for number, one in enumerate(cluster.machines):
@@ -73,7 +73,7 @@
     assert len(cluster.preempt(urgent(tasks=9))) == 4, "what there is"
 
 
-def test_room_that_is_being_freed_is_reckoned_with() -> None:
+def test_capacity_that_is_being_freed_is_counted() -> None:
     cluster = Cluster(1)
     first, _ = cluster.run("job-0", cluster.machines[0])
     first.stopping = True
@@ -103,7 +103,7 @@
     assert cluster.preempt(equal, teams=teams) == [], "its team has its guarantee"
 
 
-def test_what_has_least_to_lose_is_stopped() -> None:
+def test_the_attempt_with_least_to_lose_is_preempted() -> None:
     cluster = Cluster(1)
     one = cluster.machines[0]
     cluster.run("job-0", one, ran_s=50.0, tasks=1)
@@ -111,7 +111,7 @@
     assert cluster.preempt(urgent()) == [Victim(one, saves)]
 
 
-def test_nothing_is_stopped_for_work_that_could_not_use_the_room() -> None:
+def test_nothing_is_preempted_for_work_that_could_not_use_the_capacity() -> None:
     cluster = Cluster(1)
     cluster.run("job-0", cluster.machines[0])
     failing = urgent()
@@ -132,7 +132,7 @@
     assert cluster.preempt(urgent(cpus=8.0)) == [Victim(one, allocation)]
 
 
-def test_a_task_whose_start_is_under_way_is_left() -> None:
+def test_a_task_whose_start_is_in_flight_is_not_preempted() -> None:
     # That it is gone can only be told by a higher token, which all machines would have to hear.
     cluster = Cluster(1)
     one = cluster.machines[0]
@@ -141,7 +141,7 @@
     assert cluster.preempt(urgent(tasks=2)) == [Victim(one, second)]
 
 
-def test_a_task_that_was_gone_meanwhile_takes_no_room_any_more() -> None:
+def test_a_task_that_ended_meanwhile_takes_no_capacity() -> None:
     cluster = Cluster(1)
     one = cluster.machines[0]
     for allocation in cluster.run("job-0", one):
@@ -182,7 +182,7 @@
     assert chosen[0] == "job-b", "it has not begun for so long that it begins next"
 
 
-def test_backfill_that_has_begun_rents_no_dear_machine() -> None:
+def test_backfill_that_has_started_rents_no_expensive_machine() -> None:
     made = fleet()
     refuse_cheap(made)
     backfill = waiting_for(120.0, tasks=5)
@@ -192,7 +192,7 @@
     assert want(made, [backfill], full(10)) is None
 
 
-def test_no_room_is_kept_warm_for_backfill() -> None:
+def test_no_warm_capacity_is_kept_for_backfill() -> None:
     kept = {}
     for backfills in (False, True):
         made = fleet()
@@ -208,7 +208,7 @@
     assert kept[True] == 0.0 < kept[False]
 
 
-def test_a_dear_machine_that_backfill_alone_keeps_in_use_is_returned() -> None:
+def test_an_expensive_machine_used_by_backfill_alone_is_returned() -> None:
     # After the guests' last urgent neighbours had ended, half empty ordinary machines stayed.
     teams = {**TEAMS, GUEST.name: GUEST}
     made = fleet()
@@ -222,7 +222,7 @@
     assert made.scale_in_candidates([cheap, is_expensive], teams, NOW) == []
 
 
-def test_backfill_leaves_the_spare_room_to_others() -> None:
+def test_backfill_leaves_the_reserve_to_others() -> None:
     backfill = waiting("job-b", team=Team("blue"), tasks=4, cpus=2.0, priority=Priority.LOW)
     backfill.backfill = True
     assert len(plan([backfill], [machine("m-0")], backfill_reserve=4.0)) == 2
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -52,7 +52,7 @@
 
 
 @given(st.lists(st.integers(1, 3 * CHUNK), min_size=1, max_size=12), st.data())
-def test_tasks_survive_a_change_of_leader(sizes: list[int], data: st.DataObject) -> None:
+def test_tasks_survive_a_failover(sizes: list[int], data: st.DataObject) -> None:
     before = {JobRef(f"job-{n}"): waiting(f"job-{n}", tasks=size) for n, size in enumerate(sizes)}
     records = PlacementRecords(VALUE_KB, TXN_OPS, True)
     for one in before.values():
@@ -135,7 +135,7 @@
     assert len(list(records)) == 2 and records.lazy() != [record]
 
 
-def test_deletions_survive_a_change_of_leader() -> None:
+def test_deletions_survive_a_failover() -> None:
     decommission_records = DecommissionRecords(VALUE_KB)
     record, _ = decommission_records.open()
     put = record.put([MachineId("m-1"), MachineId("m-2")])
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("missing", MEMBERS)
-def test_arrays_go_on_without_a_controller_that_never_comes_back(missing: str) -> None:
+def test_arrays_continue_without_a_controller_that_never_comes_back(missing: str) -> None:
     world = busy_world(4)
     world.crash(missing, 1e6)
     others = [member for member in MEMBERS if member != missing]
@@ -173,7 +173,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("moment", ["before", "during", "after", "as the leader ends"])
-def test_the_limits_drop_around_an_outage_or_a_change_of_leader(seed: int, moment: str) -> None:
+def test_the_limits_drop_around_an_outage_or_a_failover(seed: int, moment: str) -> None:
     world = busy_world(seed)
     for member in MEMBERS:
         world.upgrade(member, 0.5)
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -41,7 +41,9 @@
 
 
 @given(st.lists(jobs, max_size=6, unique_by=lambda j: j.ref), fleets)
-def test_a_round_keeps_room_quota_and_places(waiting_jobs: list[Job], fleet: list[Machine]) -> None:
+def test_a_scheduling_cycle_respects_capacity_quota_and_placement(
+    waiting_jobs: list[Job], fleet: list[Machine]
+) -> None:
     assignments = plan(waiting_jobs, fleet)
     by_ref = {j.ref: j for j in waiting_jobs}
     for one in fleet:
@@ -63,7 +65,7 @@
             assert len(places) in (0, one_job.spec.tasks)
 
 
-def test_a_round_prefers_urgent_work_cheap_machines_and_images() -> None:
+def test_a_scheduling_cycle_prefers_urgent_work_spot_machines_and_present_images() -> None:
     urgent = waiting("job-u", tasks=1, cpus=8.0, priority=Priority.HIGH)
     normal = waiting("job-n", tasks=1, cpus=8.0, team=Team("blue"))
     assert plan([normal, urgent], [machine("m-0")]) == [
@@ -89,7 +91,7 @@
     assert len(plan([failing], [machine("m-0"), machine("m-1")])) == 1
 
 
-def test_what_may_still_start_is_not_proven_gone() -> None:
+def test_an_attempt_that_may_still_start_is_not_proven_ended() -> None:
     spec = job("job-1")
     one = machine("m-0")
     waiting_job = waiting("job-1")
@@ -146,14 +148,14 @@
     assert [c.job for c in plan([medium, tiny], [half_used])] == ["job-tiny"]
 
 
-def test_a_round_looks_at_every_machine_unless_there_are_too_many_pairs() -> None:
+def test_a_scheduling_cycle_looks_at_every_machine_unless_there_are_too_many_pairs() -> None:
     fleet = [machine(f"m-{n}") for n in range(400)]
     for one in fleet[:-1]:
         one.used_cpus = 8.0
     assert [c.machine for c in plan([waiting("job-1", tasks=1)], fleet)] == ["m-399"]
 
 
-def test_the_last_of_a_teams_limit_is_for_its_urgent_work() -> None:
+def test_the_last_of_a_teams_quota_is_for_its_urgent_work() -> None:
     fleet = [machine(f"m-{n}") for n in range(8)]
     for priority, most in ((Priority.NORMAL, 13), (Priority.HIGH, 14)):
         many = waiting("job-1", tasks=40, cpus=1.0, memory_gb=0.1, priority=priority)
@@ -162,7 +164,7 @@
     assert len(plan([alone], fleet, reserve=20.0)) == 1, "but none is kept from starting at all"
 
 
-def test_late_work_begins_among_ever_new_work_that_is_worth_more() -> None:
+def test_late_work_starts_among_ever_new_work_of_higher_value() -> None:
     old = waiting("job-old", tasks=3, cpus=2.0, priority=Priority.LOW, team=Team("blue"))
     old.submitted = Seconds(NOW - 101.0)
     new = waiting("job-new", tasks=3, cpus=2.0, priority=Priority.HIGH, team=Team("blue"))
@@ -173,7 +175,7 @@
     assert [c.job for c in plan([new, old], fleet)] == ["job-new", "job-new"], "it has begun"
 
 
-def test_no_job_waits_for_long_while_a_machine_has_room_for_it() -> None:
+def test_no_job_waits_for_long_while_a_machine_has_free_capacity_for_it() -> None:
     """Neither what is kept for large tasks, nor what is left to urgent work, nor a failure there
     keeps a job from all room that there is."""
     large = waiting("job-large", tasks=1, cpus=8.0, priority=Priority.HIGH)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -140,7 +140,7 @@
         (("settings", "workers"), "gang_peer_s", "soon"),
     ],
 )
-def test_what_came_with_ensembles_is_validated(
+def test_settings_that_came_with_gangs_are_validated(
     place: tuple[str, ...], name: str, value: Any
 ) -> None:
     raw = copy.deepcopy(GOOD)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -66,7 +66,7 @@
     return calls
 
 
-def test_a_round_looks_at_full_machines_once_and_not_once_a_job(
+def test_a_scheduling_cycle_looks_at_full_machines_once_and_not_once_a_job(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     jobs, machines = flooded()
@@ -82,7 +82,7 @@
     assert allowed[0] <= 3 * JOBS * WITH_ROOM
 
 
-def test_renting_counts_into_full_machines_once_and_not_once_a_job(
+def test_scaling_out_looks_at_full_machines_once_and_not_once_a_job(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     jobs, machines = flooded()
@@ -94,7 +94,9 @@
     assert housed[0] <= JOBS * WITH_ROOM
 
 
-def test_a_round_looks_at_a_sample_of_a_thousand_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_scheduling_cycle_looks_at_a_sample_of_a_thousand_jobs(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     # hunt-d090-3: a swarm of 800 jobs of one task kept the leader busy for longer than it had.
     jobs = [
         Job(job(f"job-{n}", tasks=1, cpus=4.0), Version(1), Seconds(NOW - 50.0))
@@ -110,7 +112,7 @@
     assert ranked[0] <= 1.2 * MAX_JOBS * MIN_SAMPLE
 
 
-def test_a_rental_looks_for_machines_for_a_part_of_a_thousand_jobs(
+def test_scaling_out_prices_a_sample_of_a_thousand_jobs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # hunt-d090-3: each second 800 jobs were compared with 16 kinds of machines in turn; one leader
@@ -127,7 +129,7 @@
     assert priced[0] <= MAX_PRICED
 
 
-def test_jobs_that_fit_nowhere_leave_the_round_to_others() -> None:
+def test_jobs_that_fit_nowhere_leave_the_scheduling_cycle_to_others() -> None:
     large = [
         Job(job(f"job-l{n}", tasks=1, cpus=8.0, priority=Priority.HIGH), Version(1), NOW)
         for n in range(300)
@@ -185,7 +187,7 @@
 
 
 @SIZES
-def test_a_part_with_all_machines_keeps_to_the_length_of_a_frame(machines: int) -> None:
+def test_a_shard_with_all_machines_fits_a_frame(machines: int) -> None:
     # A longer frame makes the receiver close the link, every five seconds.
     term = large(machines)
     images = {f"image-{number:04d}": Seconds(0.0) for number in range(10)}
--- a/tests/test_stale_heartbeats.py
+++ b/tests/test_stale_heartbeats.py
@@ -13,7 +13,7 @@
 from .world import LEASE_S
 
 
-def test_a_machine_of_which_only_an_old_copy_speaks_gets_no_work() -> None:
+def test_a_machine_known_only_from_an_old_heartbeat_gets_no_work() -> None:
     term = Term()
     # It may have been deleted long ago: no tombstone of ours tells.
     term.hear((1, 40), token=TOKEN - 2)
@@ -26,7 +26,7 @@
     assert term.usable, "it has seen our token, so it lives"
 
 
-def test_an_old_report_does_not_bring_back_a_machine_that_we_deleted() -> None:
+def test_an_old_heartbeat_does_not_bring_back_a_deleted_machine() -> None:
     term = Term()
     term.hear((1, 40))
     machine = term.leader.cluster.machines[MachineId("m-0")]
@@ -40,7 +40,7 @@
     assert term.leader.cluster.machines == {}
 
 
-def test_a_late_copy_renews_nothing() -> None:
+def test_a_late_heartbeat_copy_renews_nothing() -> None:
     term = Term()
     term.hear((1, 40))
     term.step(3.0)
@@ -51,7 +51,7 @@
     assert (machine.last_heard, machine.last_answer, machine.heartbeat_id) == before
 
 
-def test_reports_held_up_in_a_cut_are_no_sign_of_deafness() -> None:
+def test_heartbeats_delayed_by_a_cut_do_not_show_an_unresponsive_machine() -> None:
     term = Term()
     for sequence in range(1, 6):
         term.hear((1, sequence))
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("agent_epoch", [1, 4])
-def test_a_machine_that_counts_its_sessions_anew_is_returned(agent_epoch: int) -> None:
+def test_a_machine_whose_agent_epochs_restart_is_returned(agent_epoch: int) -> None:
     live, work = held(agent_epoch=4)
     term = Term(live, work)
     term.hear((agent_epoch, 1), token=TOKEN - 1)
@@ -74,7 +74,7 @@
     assert term.decommissioning == (agent_epoch == 1)
 
 
-def test_a_copy_from_before_a_machine_began_anew_proves_nothing_gone() -> None:
+def test_a_heartbeat_from_before_a_machine_restarted_proves_no_task_ended() -> None:
     # It had come to session 3, lost power, and counts from 1 again; a task was placed there since.
     term = Term(*held(agent_epoch=1))
     term.hear((1, 9))
@@ -84,7 +84,7 @@
     assert machine.allocations
 
 
-def test_a_later_session_proves_the_end_of_tasks_once_it_shows_our_token() -> None:
+def test_a_later_agent_epoch_proves_that_tasks_ended_once_it_shows_our_token() -> None:
     term = Term(*held(agent_epoch=1))
     term.hear((3, 52), token=TOKEN - 1)
     machine = term.leader.cluster.machines[MachineId("m-0")]
--- a/tests/test_task_reports.py
+++ b/tests/test_task_reports.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(("cause", "cleared"), [("done", True), ("error", False)])
-def test_what_was_started_directly_is_not_cleared_while_a_repeat_could_start_it_again(
+def test_a_directly_started_task_is_not_cleared_while_a_repeat_could_start_it_again(
     cause: str, cleared: bool
 ) -> None:
     term = Term(*held(agent_epoch=1))
@@ -49,7 +49,7 @@
     assert any(isinstance(order, ClearOrder) for order in answer.orders)
 
 
-def test_what_the_store_still_names_is_not_cleared() -> None:
+def test_a_task_that_the_store_still_names_is_not_cleared() -> None:
     """The next leader would send a start for it, and the worker would know nothing of it."""
     term = Term(*held(agent_epoch=1))
     ended = TaskStatus(TaskId(JobRef("job-1"), 0), Attempt(1), "exited", "done")
--- a/tests/test_unresponsive_workers.py
+++ b/tests/test_unresponsive_workers.py
@@ -12,7 +12,7 @@
 from .world import LEASE_S, MEMBERS, TYPES, World, at_work, job
 
 
-def test_a_session_that_ended_though_it_was_answered_shows_a_machine_that_is_deaf() -> None:
+def test_an_agent_epoch_that_ended_despite_responses_shows_an_unresponsive_machine() -> None:
     term = Term()
     for sequence in range(1, 6):
         (answer,) = term.hear((1, sequence))
@@ -23,7 +23,7 @@
     assert term.decommissioning
 
 
-def test_a_session_that_ended_in_a_cut_is_no_sign_of_deafness() -> None:
+def test_an_agent_epoch_that_ended_in_a_cut_does_not_show_an_unresponsive_machine() -> None:
     term = Term()
     term.hear((1, 1))
     term.step(LEASE_S + 1.0)
@@ -40,7 +40,7 @@
     return [name for name, worker in world.workers.items() if worker.tasks]
 
 
-def test_work_on_a_machine_that_hears_nothing_is_done_elsewhere(busy: World) -> None:
+def test_work_on_a_machine_that_receives_nothing_is_done_elsewhere(busy: World) -> None:
     name = hosts(busy)[0]
     busy.network.unheard.update((member, name) for member in MEMBERS)
     busy.clock.advance(LEASE_S + 10.0)
@@ -51,7 +51,7 @@
     assert busy.told_final == {"job-long": "done"}
 
 
-def test_a_machine_that_only_direct_messages_do_not_reach_stays_of_use(busy: World) -> None:
+def test_a_machine_that_only_direct_commands_do_not_reach_stays_in_use(busy: World) -> None:
     name = hosts(busy)[0]
     busy.no_direct.update(busy.workers)
     for number in range(4):
@@ -64,7 +64,7 @@
     assert set(busy.told_final) >= {f"job-{number}" for number in range(4)}
 
 
-def test_a_machine_that_looks_for_a_controller_is_asked_after_before_it_is_given_up(
+def test_a_machine_that_looks_for_a_controller_is_probed_before_it_is_given_up(
     busy: World,
 ) -> None:
     leader = next(m for m, p in busy.processes.items() if p and p.controller.leader)
@@ -82,7 +82,7 @@
     assert not worker.gone and held <= set(worker.tasks)
 
 
-def test_a_zone_that_is_cut_off_hides_no_end_elsewhere_and_is_not_returned() -> None:
+def test_a_zone_that_is_cut_off_hides_no_dead_machine_elsewhere_and_is_not_returned() -> None:
     term = Term()
     for number in range(60):
         one = Machine(MachineId(f"m-{number}"), TYPES[0], Zone("ab"[number % 2]), True)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -148,7 +148,7 @@
 
 @settings(max_examples=300)
 @given(st.lists(st.integers(1, 450), min_size=1, max_size=5), st.data())
-def test_large_records_are_written_anew_in_small_ones_and_no_task_is_lost(
+def test_large_records_are_rewritten_as_small_ones_and_no_task_is_lost(
     sizes: list[int], data: st.DataObject
 ) -> None:
     old = PlacementRecords(16.0, 8, cut=False)
@@ -190,7 +190,7 @@
         }
 
 
-def test_a_record_goes_only_when_all_of_it_is_written_anew() -> None:
+def test_a_record_is_removed_only_when_all_of_it_is_rewritten() -> None:
     old = PlacementRecords(16.0, 8, cut=False)
     one = Job(job("job-1", tasks=150), Version(1), NOW)
     spread(old, one, 150, 0)
--- a/tests/test_upgrade_coordination.py
+++ b/tests/test_upgrade_coordination.py
@@ -56,7 +56,7 @@
                     effect.continuation(Listing(items, Version(1)) if self.answers else None)
 
 
-def test_all_have_changed_once_each_has_put_its_key_and_that_outlives_restarts() -> None:
+def test_the_upgrade_is_complete_once_each_controller_has_put_its_key_even_after_restarts() -> None:
     store = Store()
     first = store.controller("c0")
     first.begin()
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("complete", [False, True])
-def test_an_ensemble_is_refused_at_once_until_all_have_changed(complete: bool) -> None:
+def test_a_gang_is_rejected_at_once_until_all_controllers_have_changed(complete: bool) -> None:
     requests, out = user_requests()
     requests._all_know_gangs = lambda: complete
     requests.submit(1, job("job-g", tasks=2, shape=Shape.GANG), WallTime(0.0))
--- a/tests/test_user_requests.py
+++ b/tests/test_user_requests.py
@@ -53,7 +53,7 @@
         assert isinstance(read, Scan), "a repeat of an accepted job must never get 422"
 
 
-def test_an_ensemble_over_its_teams_limit_together_is_refused() -> None:
+def test_a_gang_over_its_teams_quota_is_rejected() -> None:
     """Its array may run one task at a time; of an ensemble all must fit in the limit of 14."""
     for shape, accepted in ((Shape.ARRAY, True), (Shape.GANG, False)):
         (effect,) = submit(tasks=8, cpus=2.0, shape=shape)
@@ -89,7 +89,7 @@
     return requests, out
 
 
-def test_questions_share_a_read_that_began_after_them() -> None:
+def test_queries_share_a_read_that_began_after_them() -> None:
     requests, out = copied()
     requests.query(2, JobRef("job-1"))
     # Looks are not closer than the store's allowance admits.
@@ -121,7 +121,7 @@
     assert answer.request == 4 and answer.body["status"] == "done"
 
 
-def test_a_lost_look_is_answered_at_once_and_a_copy_too_old_is_read_anew() -> None:
+def test_a_failed_read_is_answered_at_once_and_an_outdated_copy_is_reloaded() -> None:
     requests, out = copied()
     requests.query(2, JobRef("job-1"))
     only(out, Delay).continuation()
@@ -134,7 +134,7 @@
     assert answered(out).body["status"] == "aborted"
 
 
-def test_nobody_has_submitted_it() -> None:
+def test_an_unknown_job_is_answered_with_404() -> None:
     requests, out = copied()
     requests.query(2, JobRef("job-nobody"))
     only(out, Delay).continuation()
