--- a/src/crosscleat/core/election/election.py
+++ b/src/crosscleat/core/election/election.py
@@ -1,12 +1,16 @@
-"""Who leads: one key in the store under a lease; its version is the token.
+"""Leader election: one key in the store under a lease; the key's version is the fencing token.
 
-Taking the key over, rotating it and every leader's write are conditional on its version,
-so a leader that lost it can change nothing, whatever it still believes.
+Taking the key over, rotating it and every write of a leader are conditional on its version, so a
+controller that lost it can change nothing, whatever it still believes.
+
+A follower watches the key. When the key is gone, it asks for a lease and puts the key under it. A
+leader renews its lease until it resigns or the lease has expired.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from random import Random
 
 from ..model.effects import Outbox
@@ -28,17 +32,37 @@
 )
 from ..state.keys import LEADER
 
-LIFE_S = 3.0
+LEASE_LIFE_S = 3.0
+"""The leader key goes away so long after the last renewal of its lease."""
 
 RENEW_S = 0.8
+"""From a renewal that was answered to the next."""
+
+RENEW_RETRY_S = 0.4
+"""From a renewal without an answer to the next."""
+
+WATCH_BLOCK_S = 4.0
+"""For so long the store may hold back the answer of a watch that has nothing to say."""
+
+MIN_REVOKE_S = 20.0
+"""Least time between two revocations of other leaders' leases."""
+
 
-WATCH_S = 4.0
+@dataclass(frozen=True, slots=True)
+class LeaderRecord:
+    """Who leads, and under which lease, as the leader key says."""
 
-REVOKE_PAUSE_S = 20.0
+    member: Member
+    lease: LeaseId
+
+    @classmethod
+    def parse(cls, record: Record) -> LeaderRecord:
+        """The record as the store has it."""
+        return cls(Member(record["member"]), LeaseId(record["lease"]))
 
 
 class Election:
-    """Who leads: takes, keeps and gives up the leader key."""
+    """Takes, keeps and gives up the leader key."""
 
     def __init__(
         self,
@@ -51,6 +75,9 @@
         elected: Callable[[Token], None],
         lost: Callable[[str], None],
     ) -> None:
+        """`boot` names this process among those of the same member; `later` runs a continuation
+        after a delay; `elected` is called with the token of a new term; `lost` when a term ends,
+        with the reason."""
         self._member = member
         self._boot = boot
         self._outbox = outbox
@@ -60,12 +87,16 @@
         self._elected = elected
         self._lost = lost
         self._lease: LeaseId | None = None
-        self._epoch = 0
+        """Our lease, while we lead or try to."""
+        self._generation = 0
+        """Raised by each resignation; what calls of an earlier generation bring is dropped."""
         self._leader_lease: LeaseId | None = None
-        self._forced_at: Seconds | None = None
+        """The lease of the leader that we follow, until we have revoked it."""
+        self._revoked_at: Seconds | None = None
         self.token: Token | None = None
-        """Our token while we lead."""
+        """Our fencing token while we lead."""
         self.leader: Member | None = None
+        """Who leads, as far as we know."""
         self.contact = LONG_AGO
         """When the renewal that last confirmed our leadership was sent."""
 
@@ -74,63 +105,103 @@
         """Whether we hold the leader key."""
         return self.token is not None
 
+    # Following
+
     def begin(self) -> None:
-        """Look at the leader key for the first time."""
-        epoch = self._epoch
-        self._outbox.add(Read(LEADER, lambda found: self._looked(epoch, found)))
+        """Read the leader key, and follow or campaign by what it says."""
+        generation = self._generation
+        self._outbox.add(Read(LEADER, lambda found: self._leader_read(generation, found)))
+
+    def _begin_later(self, delay_s: float) -> None:
+        generation = self._generation
+        self._later(delay_s, lambda: self._begin_if_current(generation))
 
-    def _looked(self, epoch: int, found: Found | None) -> None:
-        if epoch != self._epoch:
+    def _begin_if_current(self, generation: int) -> None:
+        if generation == self._generation:
+            self.begin()
+
+    def _leader_read(self, generation: int, found: Found | None) -> None:
+        if generation != self._generation:
             return
         if found is None:
-            self._later(0.3 + 0.4 * self._rng.random(), self._again(epoch))
+            self._begin_later(0.3 + 0.4 * self._rng.random())
         elif found.item is None:
             self.leader = None
-            self._stand(epoch)
+            self._campaign(ABSENT)
         else:
             self._follow(found.item.value)
             if self.leader == self._member:
-                # An earlier process of ours holds it. Nobody else may use that token, and it
-                # knows of no command sent: take it over at once with a new one.
-                self._stand(epoch, found.item.version)
+                # An earlier process of ours holds it. Nobody else may use that token, and this
+                # process knows of no command sent with it: take the key over with a new one.
+                self._campaign(found.item.version)
             else:
-                self._watch(epoch, found.revision)
+                self._watch(found.revision)
 
-    def _again(self, epoch: int) -> Callable[[], None]:
-        return lambda: self.begin() if epoch == self._epoch else None
+    def _follow(self, record: Record) -> None:
+        leader = LeaderRecord.parse(record)
+        self.leader = leader.member
+        self._leader_lease = leader.lease
 
-    def _watch(self, epoch: int, after: Version) -> None:
+    def _watch(self, after: Version) -> None:
+        generation = self._generation
         self._outbox.add(
             Watch(
-                LEADER, after, WATCH_S, lambda watch_result: self._heard(epoch, after, watch_result)
+                LEADER,
+                after,
+                WATCH_BLOCK_S,
+                lambda watch_result: self._watch_answered(generation, after, watch_result),
             )
         )
 
-    def _heard(self, epoch: int, after: Version, watch_result: WatchResult | None) -> None:
-        if epoch != self._epoch:
+    def _watch_answered(
+        self, generation: int, after: Version, watch_result: WatchResult | None
+    ) -> None:
+        if generation != self._generation:
             return
         if watch_result is None or watch_result.lost:
-            self._later(0.2 + 0.3 * self._rng.random(), self._again(epoch))
+            self._begin_later(0.2 + 0.3 * self._rng.random())
             return
-        mine = [change for change in watch_result.changes if change.key == LEADER]
-        if not mine:
-            self._watch(epoch, max(after, watch_result.revision))
-        elif mine[-1].version == 0:
+        changes = [change for change in watch_result.changes if change.key == LEADER]
+        if not changes:
+            self._watch(max(after, watch_result.revision))
+        elif changes[-1].version == ABSENT:
             self.leader = None
             # Not all at the same instant: the store counts failed transactions too.
-            self._later(0.05 * self._rng.random(), self._again(epoch))
+            self._begin_later(0.05 * self._rng.random())
         else:
-            self._follow(mine[-1].value)
-            self._watch(epoch, watch_result.revision)
+            self._follow(changes[-1].value)
+            self._watch(watch_result.revision)
 
-    def _stand(self, epoch: int, version: Version = ABSENT) -> None:
-        self._outbox.add(GrantLease(LIFE_S, lambda lease: self._granted(epoch, version, lease)))
+    def revoke_leader_lease(self, member: Member) -> None:
+        """The leader refuses connections: revoke its lease rather than wait until it expires.
 
-    def _granted(self, epoch: int, version: Version, lease: LeaseId | None) -> None:
-        if epoch != self._epoch:
+        A refused connection proves nothing, and need not: a leader that is alive finds its lease
+        expired at its next renewal, and whoever is elected allows for what it still sends. An
+        error costs a change of leader, so the time between two revocations is bounded.
+        """
+        now = self._clock()
+        if self.leading or self.leader != member or self._leader_lease is None:
+            return
+        if self._revoked_at is None or now - self._revoked_at > MIN_REVOKE_S:
+            self._revoked_at = now
+            self._outbox.log("info", f"leader {member} refuses connections: revoking its lease")
+            self._outbox.add(RevokeLease(self._leader_lease))
+            self._leader_lease = None
+
+    # Campaigning
+
+    def _campaign(self, version: Version) -> None:
+        """Ask for a lease, then put the leader key under it if it still has this version."""
+        generation = self._generation
+        self._outbox.add(
+            GrantLease(LEASE_LIFE_S, lambda lease: self._lease_granted(generation, version, lease))
+        )
+
+    def _lease_granted(self, generation: int, version: Version, lease: LeaseId | None) -> None:
+        if generation != self._generation:
             return
         if lease is None:
-            self._later(0.3 + 0.4 * self._rng.random(), self._again(epoch))
+            self._begin_later(0.3 + 0.4 * self._rng.random())
             return
         self._lease = lease
         sent = self._clock()
@@ -138,83 +209,67 @@
             Commit(
                 ((LEADER, version),),
                 (Put(LEADER, self._record(lease), lease),),
-                lambda result: self._decided(epoch, lease, sent, result),
+                lambda result: self._key_decided(generation, lease, sent, result),
             )
         )
 
     def _record(self, lease: LeaseId) -> Record:
         return {"member": self._member, "boot": self._boot, "lease": lease}
 
-    def _follow(self, record: Record) -> None:
-        self.leader = Member(record["member"])
-        self._leader_lease = LeaseId(record["lease"])
-
-    def revoke_leader_lease(self, member: Member) -> None:
-        """The leader's process seems to be gone: end its lease now, not when it runs out.
-
-        A refused connection proves nothing, and need not: a leader that is alive finds its
-        lease ended at its next renewal, and whoever is elected reckons with what it still sends.
-        Being wrong costs a change of leader, so not too often.
-        """
-        now = self._clock()
-        if self.leading or self.leader != member or self._leader_lease is None:
-            return
-        if self._forced_at is None or now - self._forced_at > REVOKE_PAUSE_S:
-            self._forced_at = now
-            self._outbox.log("info", f"leader {member} seems to be gone: ending its lease")
-            self._outbox.add(RevokeLease(self._leader_lease))
-            self._leader_lease = None
-
-    def _decided(
+    def _key_decided(
         self,
-        epoch: int,
+        generation: int,
         lease: LeaseId,
         sent: Seconds,
         result: Committed | Conflict | NoSuchLease | None,
     ) -> None:
-        if epoch != self._epoch:
+        if generation != self._generation:
             return
         if not isinstance(result, Committed):
-            # Perhaps it was carried out, or will be: without its lease the key goes away.
+            # It may have been carried out, or may be later: without its lease the key goes away.
             self._outbox.add(RevokeLease(lease))
             self._lease = None
-            self._later(0.1 + 0.2 * self._rng.random(), self._again(epoch))
+            self._begin_later(0.1 + 0.2 * self._rng.random())
             return
         self.token = Token(result.revision)
         self.leader = self._member
         self.contact = sent
-        self._later(RENEW_S, lambda: self._renew(epoch))
+        self._later(RENEW_S, lambda: self._renew(generation))
         self._elected(self.token)
 
-    def _renew(self, epoch: int) -> None:
-        if epoch != self._epoch or self._lease is None:
+    # Leading
+
+    def _renew(self, generation: int) -> None:
+        if generation != self._generation or self._lease is None:
             return
         sent = self._clock()
-        self._outbox.add(RenewLease(self._lease, lambda alive: self._renewed(epoch, sent, alive)))
+        self._outbox.add(
+            RenewLease(self._lease, lambda alive: self._renewed(generation, sent, alive))
+        )
 
-    def _renewed(self, epoch: int, sent: Seconds, alive: bool | None) -> None:
-        if epoch != self._epoch:
+    def _renewed(self, generation: int, sent: Seconds, alive: bool | None) -> None:
+        if generation != self._generation:
             return
         if alive is False:
-            self.resign("its lease has ended")
+            self.resign("its lease has expired")
             return
         if alive:
             self.contact = max(self.contact, sent)
-        self._later(RENEW_S if alive else 0.4, lambda: self._renew(epoch))
+        self._later(RENEW_S if alive else RENEW_RETRY_S, lambda: self._renew(generation))
 
     def rotation(self) -> Commit | None:
-        """The transaction that gives the key, and so us, a higher token."""
+        """The transaction that gives the key, and so us, a higher token; None: we don't lead."""
         if self.token is None or self._lease is None:
             return None
-        epoch = self._epoch
+        generation = self._generation
         return Commit(
             ((LEADER, Version(self.token)),),
             (Put(LEADER, self._record(self._lease), self._lease),),
-            lambda result: self._rotated(epoch, result),
+            lambda result: self._rotated(generation, result),
         )
 
-    def _rotated(self, epoch: int, result: Committed | Conflict | NoSuchLease | None) -> None:
-        if epoch != self._epoch:
+    def _rotated(self, generation: int, result: Committed | Conflict | NoSuchLease | None) -> None:
+        if generation != self._generation:
             return
         if isinstance(result, Committed):
             self.token = Token(result.revision)
@@ -222,18 +277,19 @@
             self.resign("the token could not be rotated")
 
     def resign(self, reason: str, rest_s: float = 0.3) -> None:
-        """Stop leading; what we sent stays accounted for by the next leader's higher token.
+        """Stop leading; the next leader's higher token fences off what we have sent.
 
-        `rest_s` is how long we leave the key to others before we look at it again.
+        `rest_s` is how long we leave the key to others before we read it again.
         """
-        self._epoch += 1
+        self._generation += 1
         if self._lease is not None:
             self._outbox.add(RevokeLease(self._lease))
             self._lease = None
-        was = self.token
+        was_leading = self.leading
         self.token = None
         self.leader = None
-        epoch = self._epoch
-        if was is not None:
+        generation = self._generation
+        if was_leading:
             self._lost(reason)
-        self._later(rest_s + 0.5 * self._rng.random(), self._again(epoch))
+        delay_s = rest_s + 0.5 * self._rng.random()
+        self._later(delay_s, lambda: self._begin_if_current(generation))
--- a/tests/term.py
+++ b/tests/term.py
@@ -41,7 +41,7 @@
         self.lost: list[str] = []
         election = Election(
             Member("c0"), "boot", self.out, Random(1), lambda: self.now,
-            lambda _delay, _then: None, lambda _token: None, self.lost.append,
+            lambda _delay, _continuation: None, lambda _token: None, self.lost.append,
         )  # fmt: skip
         election.token = Token(TOKEN)
         election.contact = BEGAN
--- a/tests/test_encoded_jobs.py
+++ b/tests/test_encoded_jobs.py
@@ -276,6 +276,6 @@
     out = Outbox()
     Election(
         Member("c1"), "0123456789abcdef", out, Random(1), lambda: NOW,
-        lambda _delay, _then: None, lambda _token: None, lambda _why: None,
+        lambda _delay, _continuation: None, lambda _token: None, lambda _reason: None,
     ).begin()  # fmt: skip
     assert only(out, Read).key == "leader"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -100,7 +100,7 @@
     out = Outbox()
     election = Election(
         Member("c1"), "0123456789abcdef", out, Random(1), lambda: NOW,
-        lambda _delay, _then: None, lambda _token: None, lambda _why: None,
+        lambda _delay, _continuation: None, lambda _token: None, lambda _reason: None,
     )  # fmt: skip
     assert election._record(LeaseId(7)) == leader_394dfe6
     election._follow(leader_394dfe6)
