--- a/src/crosscleat/adapters/cloud_client.py
+++ b/src/crosscleat/adapters/cloud_client.py
@@ -45,7 +45,7 @@
         if response is None or response.status != 200:
             return None
         try:
-            return [rig.machine_type() for rig in wire.rigs.decode(response.body).rigs]
+            return wire.decode_machine_types(response.body)
         except msgspec.DecodeError as error:
             log.error("unreadable machine types: %s", error)
             return None
@@ -60,23 +60,23 @@
             if response is None or response.status != 200:
                 return None
             try:
-                page = wire.boxes.decode(response.body)
+                page = wire.decode_machine_page(response.body)
             except msgspec.DecodeError as error:
                 log.error("unreadable machine list: %s", error)
                 return None
-            found.extend(box.machine() for box in page.boxes)
-            if not page.more or not page.boxes:
+            found.extend(page.machines)
+            if not page.more or not page.machines:
                 return found
-            after = page.boxes[-1].ref
+            after = page.machines[-1].id
 
     async def rent(self, call: Rent) -> RentalOutcome:
         """Rent machines; unanswered if the request failed, timed out or met an unknown status."""
-        response = await self._request("POST", "/rentals", wire.rent(call))
+        response = await self._request("POST", "/rentals", wire.encode_rental(call))
         if response is None:
             return RentalUnanswered()
         if response.status == 200:
             try:
-                return Rented(wire.hired.decode(response.body).boxes)
+                return Rented(wire.decode_rental(response.body))
             except msgspec.DecodeError as error:
                 log.error("unreadable rental: %s", error)
                 return RentalUnanswered()
@@ -90,5 +90,7 @@
 
     async def delete(self, call: DeleteMachines) -> bool:
         """Whether the cloud confirmed that the machines have been deleted."""
-        response = await self._request("POST", "/rentals/delete", wire.delete(call.machines))
+        response = await self._request(
+            "POST", "/rentals/delete", wire.encode_deletion(call.machines)
+        )
         return response is not None and response.status == 200
--- a/src/crosscleat/adapters/http_server.py
+++ b/src/crosscleat/adapters/http_server.py
@@ -140,7 +140,7 @@
         body = await _read_body(request)
         if body is None:
             return _closing(400)
-        parsed = wire.parse_work(body)
+        parsed = wire.parse_submission(body)
         if isinstance(parsed, JobSpec):
             spec = parsed
             return await self._answer(lambda number: SubmitJob(number, spec))
--- a/src/crosscleat/adapters/peer_frames.py
+++ b/src/crosscleat/adapters/peer_frames.py
@@ -26,11 +26,11 @@
     of the stream.
     """
     async with asyncio.timeout(SILENCE_S):
-        size = int.from_bytes(await reader.readexactly(4), "big")
-        if size > wire.MAX_FRAME:
+        size = int.from_bytes(await reader.readexactly(wire.LENGTH_BYTES), "big")
+        if size > wire.MAX_FRAME_BYTES:
             raise InvalidMessageError(f"frame of {size} bytes")
         body = await reader.readexactly(size)
     try:
-        return wire.parse(body)
+        return wire.decode_message(body)
     except (msgspec.DecodeError, RecursionError) as error:
         raise InvalidMessageError(str(error)) from error
--- a/src/crosscleat/adapters/peer_link.py
+++ b/src/crosscleat/adapters/peer_link.py
@@ -49,7 +49,7 @@
         if writer is None or writer.transport.get_write_buffer_size() > MAX_BUFFERED:
             return False
         try:
-            writer.write(wire.frame(message))
+            writer.write(wire.encode_frame(message))
         except wire.FrameTooLongError as error:
             # The receiver would close the link, and with it end all relays.
             log.error("not sent to %s: %s", self._peer, error)
@@ -100,7 +100,7 @@
 
     async def _use(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Exchange messages until the connection ends."""
-        writer.write(wire.frame(wire.Hello(self._member)))
+        writer.write(wire.encode_frame(wire.Hello(self._member)))
         self._writer = writer
         pings = asyncio.create_task(self._send_pings())
         try:
--- a/src/crosscleat/adapters/peer_server.py
+++ b/src/crosscleat/adapters/peer_server.py
@@ -67,11 +67,11 @@
             self._service.receive_peer_message(peer, message)
         elif isinstance(message, wire.Ping):
             self._health.receive_ping(peer, message)
-            writer.write(wire.frame(self._health.ping()))
+            writer.write(wire.encode_frame(self._health.ping()))
 
     async def _reply(self, relay: wire.Relay, writer: asyncio.StreamWriter) -> None:
         received_at = steady()
         reply = await self._service.receive_relayed_heartbeat(relay.body)
         # After this time the peer does not wait for the reply any more.
         if steady() - received_at < RELAY_TIMEOUT_S and not writer.is_closing():
-            writer.write(wire.frame(wire.Relayed(relay.number, reply.status, reply.body)))
+            writer.write(wire.encode_frame(wire.Relayed(relay.number, reply.status, reply.body)))
--- a/src/crosscleat/adapters/state_client.py
+++ b/src/crosscleat/adapters/state_client.py
@@ -8,6 +8,7 @@
 
 import asyncio
 import logging
+from collections.abc import Callable
 from random import Random
 from typing import TypeVar
 from urllib.parse import quote
@@ -112,11 +113,11 @@
         if response is None:
             return None
         if response.status == 200:
-            pair = _decode(wire.pair, response.body)
-            return None if pair is None else Found(pair.item(), Version(pair.stamp))
+            item = _decode(wire.decode_item, response.body)
+            return None if item is None else Found(item, item.version)
         if response.status == 404:
-            revision = _decode(wire.revision, response.body)
-            return None if revision is None else Found(None, Version(revision.ledger_rev))
+            revision = _decode(wire.decode_revision, response.body)
+            return None if revision is None else Found(None, revision)
         return None
 
     async def scan(self, call: Scan) -> Listing | None:
@@ -125,23 +126,23 @@
             return None
         patience_s = USER_TIMEOUT_S if call.for_user else SCAN_TIMEOUT_S
         items: list[Item] = []
-        first_revision: int | None = None
+        first_revision: Version | None = None
         after = ""
         while True:
             path = f"/kv?starts={quote(call.prefix)}&limit={KEYS_PER_PAGE}"
             if after:
                 path += f"&after={quote(after)}"
             response = await self._connection.call("GET", path, None, patience_s)
-            page = _decode_success(wire.page, response)
+            page = _decode_success(wire.decode_page, response)
             if page is None:
                 return None
             if first_revision is None:
                 # Pages are read one after the other: a watch from the first misses nothing.
-                first_revision = page.ledger_rev
-            items.extend(pair.item() for pair in page.pairs)
-            if not page.more or not page.pairs:
-                return Listing(items, Version(first_revision))
-            after = page.pairs[-1].path
+                first_revision = page.revision
+            items.extend(page.items)
+            if not page.more or not page.items:
+                return Listing(items, first_revision)
+            after = page.items[-1].key
 
     async def watch(self, call: Watch) -> WatchResult | None:
         """Changes below the prefix, as they come; None: no answer."""
@@ -157,19 +158,15 @@
             response = await self._connection.try_once("GET", path, None, timeout_s)
         if response is not None and response.status == 410:
             return WatchResult(call.after, [], lost=True)
-        changes = _decode_success(wire.changes, response)
-        if changes is None:
-            return None
-        return WatchResult(Version(changes.ledger_rev), [change.item() for change in changes.news])
+        return _decode_success(wire.decode_changes, response)
 
     # Leases
 
     async def grant(self, call: GrantLease) -> LeaseId | None:
         """A new lease; None: no answer."""
-        body = wire.grant(call.life_s)
+        body = wire.encode_lease_request(call.life_s)
         response = await self._connection.call("POST", "/grants", body, LEASE_TIMEOUT_S)
-        granted = None if response is None else _decode(wire.permit, response.body)
-        return None if granted is None else LeaseId(granted.permit)
+        return None if response is None else _decode(wire.decode_lease, response.body)
 
     async def touch(self, call: RenewLease) -> bool | None:
         """Renew a lease; False: it has ended; None: no answer."""
@@ -194,7 +191,7 @@
 
     async def _send_transaction(self, commits: list[Commit]) -> Outcome:
         """Send the commits as one transaction, again and again until the store decides."""
-        body = wire.transaction(commits)
+        body = wire.encode_transaction(commits)
         give_up_at = steady() + min(commit.patience_s for commit in commits)
         writes = sum(len(commit.writes) for commit in commits)
         repeated = False
@@ -221,11 +218,11 @@
 def _outcome(response: HttpResponse, repeated: bool) -> Outcome:
     """What the answer to a transaction means; `repeated`: an earlier try was not answered."""
     if response.status == 200:
-        revision = _decode(wire.revision, response.body)
-        return None if revision is None else Committed(Version(revision.ledger_rev))
+        revision = _decode(wire.decode_revision, response.body)
+        return None if revision is None else Committed(revision)
     if response.status == 409:
-        refused = _decode(wire.refused, response.body)
-        return Conflict(frozenset(refused.failed if refused else ()), repeated)
+        failed = _decode(wire.decode_failed_keys, response.body)
+        return Conflict(failed or frozenset(), repeated)
     if response.status == 400 and b"no such lease" in response.body:
         return NoSuchLease()
     log.error("commit answered with %d: %r", response.status, response.body[:200])
@@ -233,16 +230,16 @@
 
 
 def _decode_success(
-    decoder: msgspec.msgpack.Decoder[Message], response: HttpResponse | None
+    decode: Callable[[bytes], Message], response: HttpResponse | None
 ) -> Message | None:
     if response is None or response.status != 200:
         return None
-    return _decode(decoder, response.body)
+    return _decode(decode, response.body)
 
 
-def _decode(decoder: msgspec.msgpack.Decoder[Message], body: bytes) -> Message | None:
+def _decode(decode: Callable[[bytes], Message], body: bytes) -> Message | None:
     try:
-        return decoder.decode(body)
+        return decode(body)
     except (msgspec.DecodeError, ValueError) as error:
         log.error("unreadable answer: %s", error)
         return None
--- a/src/crosscleat/adapters/worker_client.py
+++ b/src/crosscleat/adapters/worker_client.py
@@ -37,7 +37,7 @@
     async def probe(self, address: str, token: Token, agent_epoch: AgentEpoch) -> bytes | None:
         """The worker's status as its body came in, by a message without orders; None: no reply."""
         try:
-            response = await self._post(address, wire.direct(token, agent_epoch, ()))
+            response = await self._post(address, wire.encode_direct_command(token, agent_epoch, ()))
         except NO_RESPONSE as error:
             log.debug("%s: no answer to a probe (%s)", address, error or type(error).__name__)
             return None
@@ -45,7 +45,7 @@
 
     async def direct(self, call: DirectCommand) -> DirectReply:
         """Send the orders; the reply says whether they may have been, or may yet be, executed."""
-        body = wire.direct(call.token, call.agent_epoch, call.orders)
+        body = wire.encode_direct_command(call.token, call.agent_epoch, call.orders)
         try:
             response = await self._post(call.address, body)
         except _NEVER_SENT as error:
--- a/src/crosscleat/runtime/service.py
+++ b/src/crosscleat/runtime/service.py
@@ -95,7 +95,9 @@
             lambda number: HeartbeatReceived(number, heartbeat, relayed), HEARTBEAT_TIMEOUT_S
         )
         if isinstance(answer, HeartbeatResponse):
-            return HeartbeatReply(200, worker_wire.answer(answer.token, answer.orders))
+            return HeartbeatReply(
+                200, worker_wire.encode_heartbeat_response(answer.token, answer.orders)
+            )
         return UNAVAILABLE
 
     # The other controllers
--- a/src/crosscleat/wire/cloud.py
+++ b/src/crosscleat/wire/cloud.py
@@ -1,7 +1,13 @@
-"""Messages of the cloud."""
+"""Messages of the cloud's API: machine types, the machine list, rental and deletion.
+
+The structures have the protocol's field names; the functions map them to the core's types. A body
+that is not what the protocol says raises msgspec.DecodeError.
+"""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import msgspec
 
 from ..core.model.cloud import ListedMachine, MachineType
@@ -10,7 +16,7 @@
 
 
 class Rig(msgspec.Struct):
-    """A machine type."""
+    """A machine type: sizes in GB, prices per hour, times in seconds."""
 
     sku: str
     cores: float
@@ -24,7 +30,7 @@
     ready_s: float = 60.0
 
     def machine_type(self) -> MachineType:
-        """As the core knows it."""
+        """The machine type in the core's terms."""
         return MachineType(
             name=TypeName(self.sku),
             cpus=self.cores,
@@ -39,14 +45,14 @@
         )
 
 
-class Rigs(msgspec.Struct):
-    """Answer of GET /machine_types."""
+class MachineTypesBody(msgspec.Struct):
+    """The answer to GET /machine_types."""
 
     rigs: list[Rig]
 
 
-class Hired(msgspec.Struct):
-    """Answer of POST /rentals."""
+class RentalBody(msgspec.Struct):
+    """The answer to POST /rentals."""
 
     boxes: list[str]
 
@@ -63,7 +69,7 @@
     age_s: float = 0.0
 
     def machine(self) -> ListedMachine:
-        """As the core knows it."""
+        """The machine in the core's terms."""
         return ListedMachine(
             MachineId(self.ref),
             self.addr,
@@ -75,21 +81,45 @@
         )
 
 
-class Boxes(msgspec.Struct):
-    """Answer of GET /rentals."""
+class MachineListBody(msgspec.Struct):
+    """The answer to GET /rentals."""
 
     boxes: list[Box]
     more: bool = False
 
 
-rigs = msgspec.msgpack.Decoder(Rigs)
-hired = msgspec.msgpack.Decoder(Hired)
-boxes = msgspec.msgpack.Decoder(Boxes)
+class MachinePage(NamedTuple):
+    """One page of the machine list."""
+
+    machines: list[ListedMachine]
+    more: bool
+    """Whether another page follows, after the name of the last machine."""
+
+
+_machine_types = msgspec.msgpack.Decoder(MachineTypesBody)
+_rental = msgspec.msgpack.Decoder(RentalBody)
+_machine_list = msgspec.msgpack.Decoder(MachineListBody)
 _encoder = msgspec.msgpack.Encoder()
 
 
-def rent(order: Rent) -> bytes:
-    """Body of POST /rentals."""
+def decode_machine_types(body: bytes) -> list[MachineType]:
+    """The answer to GET /machine_types."""
+    return [rig.machine_type() for rig in _machine_types.decode(body).rigs]
+
+
+def decode_machine_page(body: bytes) -> MachinePage:
+    """The answer to GET /rentals."""
+    page = _machine_list.decode(body)
+    return MachinePage([box.machine() for box in page.boxes], page.more)
+
+
+def decode_rental(body: bytes) -> list[str]:
+    """The answer to POST /rentals: the names of the machines."""
+    return _rental.decode(body).boxes
+
+
+def encode_rental(order: Rent) -> bytes:
+    """The body of POST /rentals."""
     return _encoder.encode(
         {
             "hire": order.name,
@@ -101,6 +131,6 @@
     )
 
 
-def delete(machines: tuple[str, ...]) -> bytes:
-    """Body of POST /rentals/delete."""
+def encode_deletion(machines: tuple[str, ...]) -> bytes:
+    """The body of POST /rentals/delete."""
     return _encoder.encode({"boxes": list(machines)})
--- a/src/crosscleat/wire/peers.py
+++ b/src/crosscleat/wire/peers.py
@@ -1,4 +1,7 @@
-"""Messages between controllers: tagged tuples in frames of a four-byte length."""
+"""Messages between controllers: tagged tuples in frames of a four-byte length.
+
+Tags and positions are read by other versions too; they never change.
+"""
 
 from __future__ import annotations
 
@@ -7,30 +10,31 @@
 from ..core.model.errors import CrosscleatError
 from ..core.model.shards import ShardProposal, ShardView
 
-MAX_FRAME = 1 << 20
+LENGTH_BYTES = 4
+MAX_FRAME_BYTES = 1 << 20
 
 
 class Hello(msgspec.Struct, array_like=True, tag="hello", frozen=True):
-    """The first frame of a link: who opened it."""
+    """The first message of a link: who opened it."""
 
     member: str
 
 
 class Ping(msgspec.Struct, array_like=True, tag="ping", frozen=True):
-    """Still there; and whether the state service serves the sender."""
+    """The sender is up; and whether the key-value store serves it."""
 
     served: bool
 
 
 class Relay(msgspec.Struct, array_like=True, tag="relay", frozen=True):
-    """A worker's check-in, as its body came in."""
+    """A worker's heartbeat, as its body was received."""
 
     number: int
     body: bytes
 
 
 class Relayed(msgspec.Struct, array_like=True, tag="relayed", frozen=True):
-    """The leader's answer to a relayed check-in."""
+    """The leader's HTTP answer to the relayed heartbeat of that number."""
 
     number: int
     status: int
@@ -38,25 +42,25 @@
 
 
 class Counts(msgspec.Struct, array_like=True, tag="counts", frozen=True):
-    """Done and running tasks by job."""
+    """The leader's numbers of done and running tasks, by job."""
 
     jobs: dict[str, tuple[int, int]]
 
 
 class ShardRequest(msgspec.Struct, array_like=True, tag="part", frozen=True):
-    """The leader's request to plan a part of a round."""
+    """The leader's request to plan one shard of a full cycle."""
 
     view: ShardView
 
 
 class ShardProposed(msgspec.Struct, array_like=True, tag="proposed", frozen=True):
-    """An owner's choices for its part."""
+    """The assignments that a shard owner proposes."""
 
     proposal: ShardProposal
 
 
 class IndirectProbe(msgspec.Struct, array_like=True, tag="probe", frozen=True):
-    """Asks for the report of a worker that the sender does not hear."""
+    """Asks for the status of a worker whose heartbeats do not reach the leader."""
 
     address: str
     token: int
@@ -64,7 +68,7 @@
 
 
 class ProbeReply(msgspec.Struct, array_like=True, tag="probed", frozen=True):
-    """The worker's report, as its body came in."""
+    """The worker's status, as its body was received."""
 
     body: bytes
 
@@ -82,7 +86,7 @@
 )
 
 OneWayMessage = Counts | ShardRequest | ShardProposed | IndirectProbe | ProbeReply
-"""What needs no answer on the same link."""
+"""Those that need no reply on the same link."""
 
 _decoder = msgspec.msgpack.Decoder(Message)
 _encoder = msgspec.msgpack.Encoder()
@@ -92,14 +96,14 @@
     """No receiver takes a message of this length."""
 
 
-def frame(message: Message) -> bytes:
-    """The message with its length in front, as it is sent."""
+def encode_frame(message: Message) -> bytes:
+    """The message with its length in front, as it is sent; raises FrameTooLongError."""
     body = _encoder.encode(message)
-    if len(body) > MAX_FRAME:
+    if len(body) > MAX_FRAME_BYTES:
         raise FrameTooLongError(f"a message of {len(body)} bytes: {type(message).__name__}")
-    return len(body).to_bytes(4, "big") + body
+    return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
-def parse(body: bytes) -> Message:
-    """Raises msgspec.DecodeError or ValidationError for what no controller sends."""
+def decode_message(body: bytes) -> Message:
+    """The message in a frame; raises msgspec.DecodeError for what no controller sends."""
     return _decoder.decode(body)
--- a/src/crosscleat/wire/users.py
+++ b/src/crosscleat/wire/users.py
@@ -1,4 +1,7 @@
-"""Users' messages."""
+"""Messages of users: the job that a submission describes.
+
+The structure has the protocol's field names; `job` maps them to the core's type.
+"""
 
 from __future__ import annotations
 
@@ -24,11 +27,10 @@
     "prod": Priority.PRODUCTION,
 }
 
-
 SHAPES = {"array": Shape.ARRAY, "ensemble": Shape.GANG, "service": Shape.SERVICE}
 
 
-class Work(msgspec.Struct):
+class Submission(msgspec.Struct):
     """The body of POST /work."""
 
     ref: Text
@@ -53,7 +55,7 @@
     due_s: Amount | None = None
 
     def job(self) -> JobSpec:
-        """As the core knows it."""
+        """The job in the core's terms."""
         return JobSpec(
             ref=JobRef(self.ref),
             job_class=self.jobline,
@@ -78,25 +80,28 @@
         )
 
 
-_decoder = msgspec.msgpack.Decoder(Work)
+_decoder = msgspec.msgpack.Decoder(Submission)
 _any_decoder = msgspec.msgpack.Decoder()
 
 
-def parse_work(body: bytes) -> JobSpec | JobRef | None:
+def parse_submission(body: bytes) -> JobSpec | JobRef | None:
     """The job described; or, of a malformed body, the job's name if it can be made out."""
     try:
-        work = _decoder.decode(body)
+        submission = _decoder.decode(body)
     except (msgspec.DecodeError, ValueError, RecursionError):
         return _name_in(body)
-    if not is_job_ref(work.ref):
+    if not is_job_ref(submission.ref):
         return None
-    if not _fits(body) or not all(map(math.isfinite, _amounts(work))):
-        return JobRef(work.ref)
-    return work.job()
+    if not _fits(body) or not all(map(math.isfinite, _amounts(submission))):
+        return JobRef(submission.ref)
+    return submission.job()
 
 
 def _fits(body: bytes) -> bool:
-    """The size limit counts JSON, which seldom is more than four times as long."""
+    """Whether the body keeps to the size limit.
+
+    That counts JSON, which is seldom more than four times as long.
+    """
     if len(body) > MAX_BYTES:
         return False
     if len(body) * 4 <= MAX_BYTES:
@@ -107,16 +112,16 @@
         return False
 
 
-def _amounts(work: Work) -> tuple[float, ...]:
+def _amounts(submission: Submission) -> tuple[float, ...]:
     return (
-        work.cores,
-        work.gpus,
-        work.memory_gb,
-        work.image_gb,
-        work.expect_s,
-        work.stash_every_s,
-        work.stash_s,
-        work.due_s or 0.0,
+        submission.cores,
+        submission.gpus,
+        submission.memory_gb,
+        submission.image_gb,
+        submission.expect_s,
+        submission.stash_every_s,
+        submission.stash_s,
+        submission.due_s or 0.0,
     )
 
 
--- a/src/crosscleat/wire/workers.py
+++ b/src/crosscleat/wire/workers.py
@@ -1,4 +1,7 @@
-"""Workers' messages."""
+"""Messages of workers.
+
+The structures have the protocol's field names; the functions map them to the core's types.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +33,7 @@
 
 
 class Pick(msgspec.Struct, rename={"attempt": "try"}):
-    """One task in a report."""
+    """The status of one attempt in a heartbeat."""
 
     pick: str
     attempt: int
@@ -39,8 +42,8 @@
     saved: Any = None
 
 
-class HeartbeatReceived(msgspec.Struct):
-    """The body of POST /checkin, and of every answer of a worker."""
+class HeartbeatBody(msgspec.Struct):
+    """The body of POST /checkin, and of a worker's answer to POST /do."""
 
     box: str
     addr: str
@@ -65,12 +68,15 @@
 UNAVAILABLE = HeartbeatReply(503, b"")
 """Neither this controller nor a peer that it reaches leads: the worker tries another one."""
 
-_decoder = msgspec.msgpack.Decoder(HeartbeatReceived)
+_decoder = msgspec.msgpack.Decoder(HeartbeatBody)
 _encoder = msgspec.msgpack.Encoder()
 
 
 def parse_heartbeat(body: bytes) -> Heartbeat | None:
-    """A report; None if it is malformed."""
+    """The heartbeat in a body; None if it is malformed.
+
+    A task whose name is no task's is left out.
+    """
     try:
         raw = _decoder.decode(body)
     except (msgspec.DecodeError, ValueError, RecursionError):
@@ -108,13 +114,15 @@
     }
 
 
-def answer(token: Token, orders: tuple[Order, ...]) -> bytes:
-    """Body of the answer to a check-in."""
-    return _encoder.encode({"baton": token, "orders": [_order(o) for o in orders]})
+def encode_heartbeat_response(token: Token, orders: tuple[Order, ...]) -> bytes:
+    """The body of the answer to POST /checkin."""
+    return _encoder.encode({"baton": token, "orders": [_order(order) for order in orders]})
 
 
-def direct(token: Token, agent_epoch: AgentEpoch, orders: tuple[Order, ...]) -> bytes:
-    """Body of POST /do."""
+def encode_direct_command(
+    token: Token, agent_epoch: AgentEpoch, orders: tuple[Order, ...]
+) -> bytes:
+    """The body of POST /do."""
     return _encoder.encode(
-        {"baton": token, "shift": agent_epoch, "orders": [_order(o) for o in orders]}
+        {"baton": token, "shift": agent_epoch, "orders": [_order(order) for order in orders]}
     )
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -140,12 +140,12 @@
 
 
 def test_the_response_to_a_heartbeat_is_written() -> None:
-    written = workers.answer(Token(41), ORDERS).hex()
+    written = workers.encode_heartbeat_response(Token(41), ORDERS).hex()
     assert written == "82a56261746f6e29" + WRITTEN_ORDERS
 
 
 def test_a_direct_message_to_a_worker_is_written() -> None:
-    written = workers.direct(Token(41), AgentEpoch(3), ORDERS).hex()
+    written = workers.encode_direct_command(Token(41), AgentEpoch(3), ORDERS).hex()
     assert written == "83a56261746f6e29a5736869667403" + WRITTEN_ORDERS
 
 
@@ -184,24 +184,22 @@
 
 
 def test_machine_types_are_read() -> None:
-    (rig,) = cloud.rigs.decode(pack({"rigs": [RIG]})).rigs
-    assert rig.machine_type() == KIND
+    assert cloud.decode_machine_types(pack({"rigs": [RIG]})) == [KIND]
 
 
 def test_the_optional_fields_of_a_machine_type_have_defaults() -> None:
     optional = ("gpus", "local_gb", "pull_gb_per_s", "ready_s")
     body = {name: RIG[name] for name in RIG if name not in optional}
-    (rig,) = cloud.rigs.decode(pack({"rigs": [body]})).rigs
     kind = dataclasses.replace(KIND, gpus=0.0, cache_gb=0.0, fetch_gb_per_s=1.0, boot_s=60.0)
-    assert rig.machine_type() == kind
+    assert cloud.decode_machine_types(pack({"rigs": [body]})) == [kind]
 
 
 def test_the_machine_list_is_read() -> None:
-    page = cloud.boxes.decode(pack({"boxes": [BOX], "more": True}))
-    assert [box.machine() for box in page.boxes] == [LISTED] and page.more
+    page = cloud.decode_machine_page(pack({"boxes": [BOX], "more": True}))
+    assert page.machines == [LISTED] and page.more
     bare = {name: BOX[name] for name in BOX if name not in ("addr", "age_s")}
-    page = cloud.boxes.decode(pack({"boxes": [bare]}))
-    assert page.boxes[0].machine() == REPLACE(LISTED, address="", age_s=0.0) and not page.more
+    page = cloud.decode_machine_page(pack({"boxes": [bare]}))
+    assert page.machines[0] == REPLACE(LISTED, address="", age_s=0.0) and not page.more
 
 
 def test_a_rental_is_written_and_its_answer_read() -> None:
@@ -213,46 +211,46 @@
         count=3,
         continuation=lambda _names: None,
     )
-    assert unpack(cloud.rent(order)) == {
+    assert unpack(cloud.encode_rental(order)) == {
         "hire": "c0-17", "rig": "small", "yard": "north", "loaners": True, "number": 3,
     }  # fmt: skip
-    assert cloud.hired.decode(pack({"boxes": ["m-1", "m-2"]})).boxes == ["m-1", "m-2"]
+    assert cloud.decode_rental(pack({"boxes": ["m-1", "m-2"]})) == ["m-1", "m-2"]
 
 
 def test_a_deletion_is_written() -> None:
-    assert unpack(cloud.delete(("m-1", "m-2"))) == {"boxes": ["m-1", "m-2"]}
+    assert unpack(cloud.encode_deletion(("m-1", "m-2"))) == {"boxes": ["m-1", "m-2"]}
 
 
 # State service
 
 
 def test_a_pair_is_read() -> None:
-    pair = state.pair.decode(pack({"path": "a/b", "data": {"n": 1}, "stamp": 7}))
-    assert pair.item() == Item(key="a/b", value={"n": 1}, version=Version(7))
+    item = state.decode_item(pack({"path": "a/b", "data": {"n": 1}, "stamp": 7}))
+    assert item == Item(key="a/b", value={"n": 1}, version=Version(7))
 
 
 def test_a_page_is_read() -> None:
     row = {"path": "a/b", "data": 1, "stamp": 7}
-    page = state.page.decode(pack({"pairs": [row], "more": True, "ledger_rev": 9}))
-    assert [pair.item() for pair in page.pairs] == [Item("a/b", 1, Version(7))]
-    assert (page.more, page.ledger_rev) == (True, 9)
+    page = state.decode_page(pack({"pairs": [row], "more": True, "ledger_rev": 9}))
+    assert page.items == [Item("a/b", 1, Version(7))]
+    assert (page.more, page.revision) == (True, 9)
 
 
 def test_changes_are_read() -> None:
     watch_result = [{"set": "a/b", "data": 1, "stamp": 7}, {"delete": "c"}]
-    found = state.changes.decode(pack({"ledger_rev": 9, "news": watch_result}))
-    assert found.ledger_rev == 9
-    assert [change.item() for change in found.news] == [
+    found = state.decode_changes(pack({"ledger_rev": 9, "news": watch_result}))
+    assert found.revision == 9
+    assert found.changes == [
         Item(key="a/b", value=1, version=Version(7)),
         Item(key="c", value=None, version=Version(0)),
     ]
-    assert state.changes.decode(pack({"ledger_rev": 9})).news == []
+    assert state.decode_changes(pack({"ledger_rev": 9})).changes == []
 
 
 def test_answers_to_writes_and_grants_are_read() -> None:
-    assert state.revision.decode(pack({"ledger_rev": 9})).ledger_rev == 9
-    assert state.refused.decode(pack({"failed": ["a/b"]})).failed == ["a/b"]
-    assert state.permit.decode(pack({"permit": 5})).permit == 5
+    assert state.decode_revision(pack({"ledger_rev": 9})) == 9
+    assert state.decode_failed_keys(pack({"failed": ["a/b"]})) == frozenset({"a/b"})
+    assert state.decode_lease(pack({"permit": 5})) == 5
 
 
 def test_a_transaction_and_a_grant_are_written() -> None:
@@ -261,7 +259,7 @@
         writes=(Put(key="a/b", value=1, lease=LeaseId(5)), Put(key="d", value=2), Remove(key="c")),
         continuation=lambda _result: None,
     )
-    assert unpack(state.transaction([commit])) == {
+    assert unpack(state.encode_transaction([commit])) == {
         "if": [{"path": "a/b", "stamp": 4}],
         "writes": [
             {"set": "a/b", "data": 1, "permit": 5},
@@ -269,7 +267,7 @@
             {"delete": "c"},
         ],
     }
-    assert unpack(state.grant(3.25)) == {"life_ms": 3250}
+    assert unpack(state.encode_lease_request(3.25)) == {"life_ms": 3250}
 
 
 # Other controllers
@@ -342,8 +340,8 @@
 def test_each_message_between_controllers_has_its_tag_and_positions(
     sample: list[Any], message: peers.Message
 ) -> None:
-    assert peers.parse(pack(sample)) == message
-    framed = peers.frame(message)
+    assert peers.decode_message(pack(sample)) == message
+    framed = peers.encode_frame(message)
     assert framed[:4] == len(pack(sample)).to_bytes(4, "big")
     assert unpack(framed[4:]) == sample
 
--- a/tests/test_encoded_jobs.py
+++ b/tests/test_encoded_jobs.py
@@ -51,12 +51,14 @@
 
 
 def test_every_field_of_a_submission_is_read() -> None:
-    assert users.parse_work(pack(SUBMISSION)) == SPEC
+    assert users.parse_submission(pack(SUBMISSION)) == SPEC
 
 
 def test_the_optional_fields_of_a_submission_may_be_missing() -> None:
     body = {name: SUBMISSION[name] for name in SUBMISSION if name not in ("rigs", "yard", "due_s")}
-    assert users.parse_work(pack(body)) == REPLACE(SPEC, types=None, zone=None, deadline_s=None)
+    assert users.parse_submission(pack(body)) == REPLACE(
+        SPEC, types=None, zone=None, deadline_s=None
+    )
 
 
 @pytest.mark.parametrize(
@@ -64,7 +66,7 @@
 )
 def test_every_other_field_of_a_submission_must_be_there(name: str) -> None:
     body = {other: SUBMISSION[other] for other in SUBMISSION if other != name}
-    assert users.parse_work(pack(body)) == (None if name == "ref" else "job-000412")
+    assert users.parse_submission(pack(body)) == (None if name == "ref" else "job-000412")
 
 
 FLAGS = [
@@ -91,7 +93,7 @@
     """The body with this change gives this spec, stored with this value at this position."""
     stored = [*STORED_SPEC]
     stored[position] = value
-    assert users.parse_work(pack({**SUBMISSION, **change})) == spec
+    assert users.parse_submission(pack({**SUBMISSION, **change})) == spec
     assert unpack(pack(spec)) == stored
     assert spec_of({"spec": stored}) == spec
 
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import math
+from collections.abc import Callable
 from typing import Any
 
 import msgspec
@@ -61,7 +62,7 @@
 
 @given(works, st.dictionaries(names.map(lambda n: f"x-{n}"), plain, max_size=2))
 def test_a_job_is_read_whatever_else_its_body_holds(work: dict[str, Any], more: Any) -> None:
-    spec = users.parse_work(pack({**more, **work}))
+    spec = users.parse_submission(pack({**more, **work}))
     assert isinstance(spec, JobSpec)
     assert (spec.ref, spec.tasks, spec.cpus) == (work["ref"], work["picks"], work["cores"])
     assert spec.deadline_s == work.get("due_s")
@@ -69,7 +70,7 @@
 
 @given(works)
 def test_a_job_survives_the_store(work: dict[str, Any]) -> None:
-    spec = users.parse_work(pack(work))
+    spec = users.parse_submission(pack(work))
     assert isinstance(spec, JobSpec)
     record = live_record(spec, WallTime(12.5), cancelled=False)
     assert spec_of(msgspec.msgpack.decode(pack(record))) == spec
@@ -90,17 +91,24 @@
         bad[name] = data.draw(st.sampled_from((None, 7, ["array"])))
     else:
         bad[name] = data.draw(st.sampled_from((None, "4", -1, math.inf, math.nan, -0.5)))
-    parsed = users.parse_work(pack(bad))
+    parsed = users.parse_submission(pack(bad))
     assert parsed == (None if name == "ref" else JobRef(work["ref"]))
 
 
 @given(st.binary(max_size=200) | plain.map(pack))
 def test_no_body_makes_the_parsers_fail(body: bytes) -> None:
-    assert not isinstance(users.parse_work(body), JobSpec)
+    assert not isinstance(users.parse_submission(body), JobSpec)
     assert workers.parse_heartbeat(body) is None
-    for decoder in (state.pair, state.page, state.changes, cloud.boxes, cloud.rigs):
+    decoders: tuple[Callable[[bytes], object], ...] = (
+        state.decode_item,
+        state.decode_page,
+        state.decode_changes,
+        cloud.decode_machine_page,
+        cloud.decode_machine_types,
+    )
+    for decode in decoders:
         try:
-            decoder.decode(body)
+            decode(body)
         except msgspec.DecodeError:
             continue
 
@@ -115,10 +123,10 @@
 
 def test_the_size_limit_counts_json() -> None:
     work = SMALLEST
-    assert isinstance(users.parse_work(pack(work)), JobSpec)
+    assert isinstance(users.parse_submission(pack(work)), JobSpec)
     # 20,000 zeros take 20 kB packed and 40 kB as JSON; 40,000 take 80 kB.
-    assert isinstance(users.parse_work(pack({**work, "x": [0] * 20_000})), JobSpec)
-    assert users.parse_work(pack({**work, "x": [0] * 40_000})) == "job-1"
+    assert isinstance(users.parse_submission(pack({**work, "x": [0] * 20_000})), JobSpec)
+    assert users.parse_submission(pack({**work, "x": [0] * 40_000})) == "job-1"
 
 
 @pytest.mark.parametrize("ref", ["", "job-", "task-1", "job-a/b", "job-ü", "job-a b"])
@@ -156,8 +164,8 @@
 def test_an_unknown_shape_is_malformed(shape: Any) -> None:
     """The bench's `real` submits a service, which is on no page, and expects it to run."""
     work = {**SMALLEST, "shape": shape}
-    assert users.parse_work(pack(work)) == "job-1"
-    ensemble = users.parse_work(pack({**SMALLEST, "shape": "ensemble"}))
+    assert users.parse_submission(pack(work)) == "job-1"
+    ensemble = users.parse_submission(pack({**SMALLEST, "shape": "ensemble"}))
     assert isinstance(ensemble, JobSpec) and ensemble.shape is Shape.GANG
 
 
@@ -189,7 +197,9 @@
         StopOrder("job-1/1", 1, 10.0),
         ClearOrder("job-1/2", 1),
     )
-    assert msgspec.msgpack.decode(workers.direct(Token(41), AgentEpoch(1), orders)) == {
+    assert msgspec.msgpack.decode(
+        workers.encode_direct_command(Token(41), AgentEpoch(1), orders)
+    ) == {
         "baton": 41,
         "shift": 1,
         "orders": [
@@ -206,7 +216,7 @@
         (Put("a/b", {"n": 1}, LeaseId(7)), Put("d", 2), Remove("c/d")),
         lambda _: None,
     )
-    assert msgspec.msgpack.decode(state.transaction([commit])) == {
+    assert msgspec.msgpack.decode(state.encode_transaction([commit])) == {
         "if": [{"path": "a/b", "stamp": 0}],
         "writes": [
             {"set": "a/b", "data": {"n": 1}, "permit": 7},
@@ -239,15 +249,15 @@
     )
 )
 def test_peer_messages_survive_the_wire(message: peers.Message) -> None:
-    framed = peers.frame(message)
+    framed = peers.encode_frame(message)
     assert int.from_bytes(framed[:4], "big") == len(framed) - 4
-    assert peers.parse(framed[4:]) == message
+    assert peers.decode_message(framed[4:]) == message
 
 
 @given(st.binary(max_size=60) | plain.map(pack))
 def test_no_peer_message_can_do_more_than_be_refused(body: bytes) -> None:
     try:
-        message = peers.parse(body)
+        message = peers.decode_message(body)
     except msgspec.DecodeError:
         return
     assert isinstance(
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -88,10 +88,12 @@
         "m-000009"
     ]
     for sample, message in FRAMES_394DFE6.items():
-        assert peers.parse(bytes.fromhex(sample)[4:]) == message
-    part = peers.parse(bytes.fromhex(PART_394DFE6)[4:])
+        assert peers.decode_message(bytes.fromhex(sample)[4:]) == message
+    part = peers.decode_message(bytes.fromhex(PART_394DFE6)[4:])
     assert isinstance(part, peers.ShardRequest) and part.view.jobs[0].spec == SPEC
-    assert isinstance(peers.parse(bytes.fromhex(PROPOSED_394DFE6)[4:]), peers.ShardProposed)
+    assert isinstance(
+        peers.decode_message(bytes.fromhex(PROPOSED_394DFE6)[4:]), peers.ShardProposed
+    )
 
 
 def test_the_leader_key_is_read_and_written_as_by_production() -> None:
@@ -125,9 +127,9 @@
     assert msgspec.convert(record["spec"], Spec394dfe6).ref == SPEC.ref
     assert ended_record(3, cancelled=False) == {"tasks": 3, "aborted": False}
     for sample, message in FRAMES_394DFE6.items():
-        assert peers.frame(message).hex() == sample
-    part = peers.parse(bytes.fromhex(PART_394DFE6)[4:])
-    assert peers.frame(part).hex() == PART_394DFE6
+        assert peers.encode_frame(message).hex() == sample
+    part = peers.decode_message(bytes.fromhex(PART_394DFE6)[4:])
+    assert peers.encode_frame(part).hex() == PART_394DFE6
     decommission_records, room = DecommissionRecords(SMALL_KB).open()
     assert decommission_records.put([MachineId("m-000009")]).value == {"machines": ["m-000009"]}
     assert room >= 50
