--- a/src/crosscleat/core/capacity/budget.py
+++ b/src/crosscleat/core/capacity/budget.py
@@ -16,23 +16,29 @@
         self._period_s = period_s
         self.allowance = allowance
         self._start = now
-        self._last = now
+        self._charged_until = now
         self.spent = 0.0
 
     def charge(self, rate_per_s: float, now: Seconds) -> None:
-        """Count what the rented machines cost since the last call."""
+        """Add the cost of the rented machines since the last call; a new period begins at 0."""
         while now - self._start >= self._period_s:
             self._start = Seconds(self._start + self._period_s)
             self.spent = 0.0
-            self._last = max(self._last, self._start)
-        self.spent += rate_per_s * (now - self._last)
-        self._last = now
+            self._charged_until = max(self._charged_until, self._start)
+        self.spent += rate_per_s * (now - self._charged_until)
+        self._charged_until = now
 
-    def left_s(self, now: Seconds) -> float:
+    def remaining_s(self, now: Seconds) -> float:
         """Seconds until the period ends."""
         return self._start + self._period_s - now
 
-    def admits(self, rate_per_s: float, more_per_s: float, waiting: float, now: Seconds) -> bool:
-        """Whether renting for `more_per_s` keeps the period within allowance plus waiting work."""
-        projected = self.spent + (rate_per_s + more_per_s) * self.left_s(now)
-        return projected <= self.allowance + waiting
+    def admits(
+        self, rate_per_s: float, added_per_s: float, waiting_cost: float, now: Seconds
+    ) -> bool:
+        """Whether renting for `added_per_s` more keeps within the allowance and waiting work.
+
+        `rate_per_s` is the price of the machines rented now, `waiting_cost` that of running all
+        that waits.
+        """
+        projected = self.spent + (rate_per_s + added_per_s) * self.remaining_s(now)
+        return projected <= self.allowance + waiting_cost
--- a/src/crosscleat/core/capacity/machines.py
+++ b/src/crosscleat/core/capacity/machines.py
@@ -310,7 +310,7 @@
             if machine.deleted_for_silence:
                 self._liveness.given_up(machine, now)
                 if machine.spot:
-                    self._interruptions.taken()
+                    self._interruptions.record_interruption()
             self._cluster.machines.pop(machine.id, None)
             self.tombstones[machine.id] = now
             self._deleted_names.append((now, machine.id))
--- a/src/crosscleat/core/capacity/scaling.py
+++ b/src/crosscleat/core/capacity/scaling.py
@@ -1,4 +1,4 @@
-"""What is rented and returned in a term, within the period's budget, one rental call at a time."""
+"""Scaling out and in during a term: one rental call at a time, within the period's budget."""
 
 from __future__ import annotations
 
@@ -13,21 +13,25 @@
 from ..state.jobs import Job
 from ..state.machine import Machine
 from .budget import Budget
+from .capacity_targets import CpuUse
 from .decommissioning import Decommissioner
-from .fleet import Fleet, ScaleOutRequest
+from .fleet import Fleet
 from .interruptions import InterruptionStats
 from .machines import Machines
+from .pool_catalog import price_per_cpu
+from .pools import ScaleOutRequest
 
 ADJUST_S = 1.0
-"""How often the fleet is looked at; sooner after a rental was answered."""
+"""How often demand and machines are compared; sooner after a rental was answered."""
 
-MAX_TRIES = 4
-"""A rental without an answer is repeated so often, under its name."""
+MAX_RENTAL_ATTEMPTS = 4
+"""A rental without an answer is requested so often, each time under the same name."""
 
-HEARD_S = 3.0
-"""A new leader rents nothing for so long at the most, while machines report to it."""
+MAX_DISCOVERY_S = 3.0
+"""A new leader rents nothing for at most so long, while machines report to it."""
 
-HEARD_REPORTS = 1.3
+DISCOVERY_HEARTBEATS = 1.3
+"""The same in heartbeat intervals."""
 
 
 class SurplusMachines(Protocol):
@@ -38,7 +42,7 @@
 
 
 class Autoscaler:
-    """Rents for waiting work and the warm room, and returns what is idle."""
+    """Rents for waiting work and the warm capacity, and returns machines that are not needed."""
 
     def __init__(
         self,
@@ -62,10 +66,12 @@
         self._decommissioner = decommissioner
         self._surplus = surplus
         self._budget: Budget | None = None
-        self._under_way = False
-        self._number = 0
+        """Made once the machine types are known, by whose prices the allowance is set."""
+        self._rental_pending = False
+        self._rentals = 0
+        """Rental requests of this term; repeats are not counted."""
         self._adjust_at = term.now
-        self._judged_at = term.now
+        self._risks_updated_at = term.now
         self._expects_machines = True
         """Machines may be rented from before this term."""
 
@@ -74,73 +80,85 @@
         self._expects_machines = False
 
     def adjust(self, now: Seconds) -> None:
-        """Rent the batch that is wanted most, if any, and return idle machines."""
+        """Once a second: request the next rental, if any, and return unneeded machines."""
         if now < self._adjust_at or not self._fleet.types or not self._term.may_start(now):
             return
-        self._judge_risks(now)
+        self._update_risks(now)
         self._adjust_at = Seconds(now + ADJUST_S)
         machines = list(self._cluster.machines.values())
-        rate = sum(m.type.price_for(m.spot) for m in machines) / 3600.0
-        if self._budget is None:
-            tuning = self._term.deployment.tuning
-            self._budget = Budget(tuning.period_s, self._allowance(), now)
-        self._budget.charge(rate, now)
+        self._scale_out(machines, now)
+        self._scale_in(machines, now)
+
+    def _scale_out(self, machines: list[Machine], now: Seconds) -> None:
+        rate_per_s = sum(one.type.price_for(one.spot) for one in machines) / 3600.0
+        budget = self._charged_budget(rate_per_s, now)
         jobs = [job for job in self._jobs.values() if not job.cancelled]
-        wanted = self._fleet.wanted(
-            jobs,
-            self._term.deployment.teams,
-            self._cluster.team_cpus,
-            machines,
-            now,
-            self._cpus_of(lambda job: job.at_risk),
-            self._cpus_of(lambda job: not job.spec.spot and not job.cancelled),
-            self._backfill_in_use(),
-        )
-        if wanted is not None and not self._under_way and self._heard_of_fleet(now):
-            more = self._rate(wanted)
-            waiting = self._waiting_cost(jobs)
-            if wanted.overdue or self._budget.admits(rate, more, waiting, now):
-                self.rent(wanted)
-        for machine in self._fleet.scale_in_candidates(machines, self._term.deployment.teams, now):
+        teams = self._term.deployment.teams
+        request = self._fleet.next_scale_out(jobs, machines, teams, self._cpu_use(), now)
+        if request is None or self._rental_pending or not self._machines_discovered(now):
+            return
+        added_per_s = self._rate_per_s(request)
+        waiting_cost = self._waiting_cost(jobs)
+        if request.overdue or budget.admits(rate_per_s, added_per_s, waiting_cost, now):
+            self.rent(request)
+
+    def _scale_in(self, machines: list[Machine], now: Seconds) -> None:
+        teams = self._term.deployment.teams
+        for machine in self._fleet.scale_in_candidates(machines, teams, now):
             if machine.allocations:
                 self._surplus.release_surplus(machine)
             else:
                 self._decommissioner.decommission(machine, "idle")
 
-    def _judge_risks(self, now: Seconds) -> None:
-        """Once a second, whose tasks had better not be lost; which may change with their age."""
-        cheap = sum(1 for m in self._cluster.machines.values() if m.up and m.spot)
-        self._interruptions.passed(min(1.0, now - self._judged_at), cheap)
-        self._judged_at = now
+    def _update_risks(self, now: Seconds) -> None:
+        """Judge which jobs the loss of a spot machine would make late; it changes with age."""
+        spot_machines = sum(1 for m in self._cluster.machines.values() if m.up and m.spot)
+        elapsed_s = min(ADJUST_S, now - self._risks_updated_at)
+        self._interruptions.record_uptime(elapsed_s, spot_machines)
+        self._risks_updated_at = now
         for job in self._jobs.values():
             job.at_risk = not job.cancelled and self._interruptions.at_risk(job, self._scorer, now)
 
-    def _cpus_of(self, those: Callable[[Job], bool]) -> float:
-        return sum(
-            job.spec.cpus * (job.waiting_count() + job.placed_count())
-            for job in self._jobs.values()
-            if those(job)
+    def _cpu_use(self) -> CpuUse:
+        return CpuUse(
+            by_team=self._cluster.team_cpus,
+            at_risk=self._cpus_of(lambda job: job.at_risk),
+            on_demand_only=self._cpus_of(lambda job: not job.spec.spot and not job.cancelled),
+            backfill=sum(
+                job.spec.cpus * job.placed_count() for job in self._jobs.values() if job.backfill
+            ),
         )
 
-    def _backfill_in_use(self) -> float:
+    def _cpus_of(self, selects: Callable[[Job], bool]) -> float:
+        """CPUs that the selected jobs use or wait for."""
         return sum(
-            job.spec.cpus * job.placed_count() for job in self._jobs.values() if job.backfill
+            job.spec.cpus * (job.waiting_count() + job.placed_count())
+            for job in self._jobs.values()
+            if selects(job)
         )
 
-    def _heard_of_fleet(self, now: Seconds) -> bool:
-        """A new leader first hears of the machines there are, or it would rent them twice.
+    def _machines_discovered(self, now: Seconds) -> bool:
+        """Whether the machines that are rented have had time to report to a new leader.
 
-        Unless nothing is on record: then no work has begun, and hardly a machine is rented.
+        Before, it would rent them a second time. If nothing is on record, no work has started and
+        hardly a machine is rented.
         """
-        wait_s = min(HEARD_S, self._term.deployment.heartbeat_interval_s * HEARD_REPORTS)
+        interval_s = self._term.deployment.heartbeat_interval_s
+        wait_s = min(MAX_DISCOVERY_S, interval_s * DISCOVERY_HEARTBEATS)
         return not self._expects_machines or now - self._term.began > wait_s
 
-    def _rate(self, wanted: ScaleOutRequest) -> float:
-        kind = self._fleet.types[wanted.pool.type]
-        return kind.price_for(wanted.pool.spot) * wanted.count / 3600.0
+    # Money
+
+    def _charged_budget(self, rate_per_s: float, now: Seconds) -> Budget:
+        """The budget, with the cost of the rented machines up to now."""
+        if self._budget is None:
+            period_s = self._term.deployment.tuning.period_s
+            self._budget = Budget(period_s, self._allowance(), now)
+        self._budget.charge(rate_per_s, now)
+        return self._budget
 
     def _allowance(self) -> float:
-        """The starting budget: every team's guarantee on ordinary machines for a period."""
+        """A period's allowance: the CPUs of every team's guarantee on on-demand machines."""
         per_cpu = min(
             (t.price / t.cpus for t in self._fleet.types.values() if t.cpus > 0), default=0.0
         )
@@ -149,52 +167,60 @@
         tuning = deployment.tuning
         return tuning.budget_factor * cpus * per_cpu * tuning.period_s / 3600.0
 
+    def _rate_per_s(self, request: ScaleOutRequest) -> float:
+        machine_type = self._fleet.types[request.pool.type]
+        return machine_type.price_for(request.pool.spot) * request.count / 3600.0
+
     def _waiting_cost(self, jobs: Iterable[Job]) -> float:
-        is_expensive = max(self._fleet.types.values(), key=lambda t: t.price / max(t.cpus, 1e-9))
+        """Cost of all waiting tasks on on-demand machines of the type whose CPUs cost most."""
+        costliest = max(self._fleet.types.values(), key=lambda found: price_per_cpu(found, False))
         return sum(
-            job.waiting_count() * self._scorer.cost(job, is_expensive, False, 0.0) for job in jobs
+            job.waiting_count() * self._scorer.cost(job, costliest, False, 0.0) for job in jobs
         )
 
-    def rent(self, wanted: ScaleOutRequest) -> None:
+    # Rental calls
+
+    def rent(self, request: ScaleOutRequest) -> None:
         """Send one rental request."""
-        self._under_way = True
-        self._number += 1
-        # The token is ours alone, so no controller, nor an earlier life of it, uses this name.
-        name = f"r-{self._term.began_token}-{self._number}"
-        self._request(name, wanted, 1)
-
-    def _request(self, name: str, wanted: ScaleOutRequest, tries: int) -> None:
-        pool = wanted.pool
+        self._rental_pending = True
+        self._rentals += 1
+        # The token is this term's alone: no other controller, nor an earlier process of this one,
+        # uses the same name.
+        self._send(f"r-{self._term.began_token}-{self._rentals}", request, 1)
+
+    def _send(self, name: str, request: ScaleOutRequest, attempt: int) -> None:
+        pool = request.pool
         self._term.outbox.add(
             Rent(
                 name,
                 pool.type,
                 pool.zone,
                 pool.spot,
-                wanted.count,
-                lambda outcome: self._answered(name, wanted, tries, outcome),
+                request.count,
+                lambda outcome: self._receive_outcome(name, request, attempt, outcome),
             )
         )
 
-    def _answered(
-        self, name: str, wanted: ScaleOutRequest, tries: int, outcome: RentalOutcome
+    def _receive_outcome(
+        self, name: str, request: ScaleOutRequest, attempt: int, outcome: RentalOutcome
     ) -> None:
         if self._term.retired:
             return
-        if isinstance(outcome, RentalUnanswered) and tries < MAX_TRIES:
-            self._request(name, wanted, tries + 1)
+        if isinstance(outcome, RentalUnanswered) and attempt < MAX_RENTAL_ATTEMPTS:
+            self._send(name, request, attempt + 1)
             return
         now = self._term.now
-        pool = self._fleet.pool(wanted.pool)
-        self._under_way = False
+        key = request.pool
+        pool = self._fleet.catalog.pool(key)
+        self._rental_pending = False
         if not isinstance(outcome, Rented):
             pool.refuse(now)
             return
         for machine in outcome.machines:
-            self._machines.enter_rented(wanted.pool, MachineId(machine))
-        key = wanted.pool
-        self._term.outbox.log("info", f"rented {len(outcome.machines)} of {key.type} in {key.zone}")
-        if len(outcome.machines) < wanted.count:
+            self._machines.enter_rented(key, MachineId(machine))
+        rented = len(outcome.machines)
+        self._term.outbox.log("info", f"scaled out by {rented} of {key.type} in {key.zone}")
+        if rented < request.count:
             pool.refuse(now)
         else:
             pool.granted()
--- a/src/crosscleat/core/control/assembly.py
+++ b/src/crosscleat/core/control/assembly.py
@@ -60,10 +60,7 @@
         self.decommission_records = DecommissionRecords(deployment.value_kb)
         self.run_times = RunTimes()
         self.scorer = Scorer(deployment, self.run_times)
-        self.fleet = Fleet(
-            deployment.tuning, self.scorer.completion_target_s, self.scorer.remaining_s
-        )
-        self.fleet.types = types
+        self.fleet = Fleet(deployment.tuning, types, self.scorer)
         self.interruptions = InterruptionStats()
         self.pending = PendingWork()
 
--- a/src/crosscleat/core/control/evacuation.py
+++ b/src/crosscleat/core/control/evacuation.py
@@ -38,7 +38,7 @@
     def notice_received(self, machine: Machine, notice_s: float) -> None:
         """The cloud reclaims the machine in `notice_s` seconds."""
         machine.reclaim_at = Seconds(self._term.now + notice_s)
-        self._interruptions.taken()
+        self._interruptions.record_interruption()
         self._evacuate(machine, notice_s)
 
     def release_surplus(self, machine: Machine) -> None:
--- a/src/crosscleat/core/control/job_changes.py
+++ b/src/crosscleat/core/control/job_changes.py
@@ -64,7 +64,7 @@
                 continue
             if job is None:
                 job = self._jobs[ref] = self.read(change, now)
-                self._fleet.arrived(job, now)
+                self._fleet.targets.record_arrival(job, now)
                 job.at_risk = self._interruptions.at_risk(job, self._scorer, now)
                 self._pending.cycle_wanted = True
                 if is_cancelled(change.value):
--- a/src/crosscleat/core/control/scheduler.py
+++ b/src/crosscleat/core/control/scheduler.py
@@ -135,8 +135,8 @@
             now,
             self._term.deployment.tuning.drop_threshold,
             self._urgent_reserve(),
-            self._fleet.firm.one_job(),
-            self._fleet.spare_cpus(),
+            self._fleet.targets.on_demand_only.large_job_cpus(),
+            self._fleet.targets.spare_cpus(),
         )
 
     def _plannable(self) -> Iterator[Job]:
@@ -147,7 +147,7 @@
 
     def _urgent_reserve(self) -> float:
         """Room that work below urgent leaves free for urgent work to come."""
-        return 0.5 * self._fleet.demand.one_job()
+        return 0.5 * self._fleet.targets.demand.large_job_cpus()
 
     def places_to_complete(self, job: Job, left_s: float) -> list[Assignment]:
         """Places for the tasks that a waiting gang lacks, startable in so many seconds."""
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -2,27 +2,40 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from typing import Any
 
-from crosscleat.core.capacity.fleet import Fleet, ScaleOutRequest
-from crosscleat.core.capacity.pools import PoolKey
+from crosscleat.core.capacity.capacity_targets import CpuUse
+from crosscleat.core.capacity.fleet import Fleet
+from crosscleat.core.capacity.pools import PoolKey, ScaleOutRequest
 from crosscleat.core.model.deployment import TuningOptions
 from crosscleat.core.model.ids import MachineId, Seconds, Team, Version, Zone
+from crosscleat.core.model.job_spec import JobSpec
 from crosscleat.core.state.jobs import Job
 from crosscleat.core.state.machine import Machine
 
 from .world import TEAMS, TYPES, job
 
 NOW = Seconds(500.0)
-DUE_S = 60.0
+TARGET_S = 60.0
+
+
+@dataclass(frozen=True, slots=True)
+class FixedTarget:
+    """All jobs are to be done within the same time, and run for as long as they say."""
+
+    target_s: float
+
+    def completion_target_s(self, _spec: JobSpec, /) -> float:
+        return self.target_s
+
+    def remaining_s(self, job: Job, /) -> float:
+        return job.spec.estimate_s
 
 
 def fleet() -> Fleet:
-    made = Fleet(
-        TuningOptions(headroom=0.0, swings=0.0), lambda _: DUE_S, lambda job: job.spec.estimate_s
-    )
-    made.types = {kind.name: kind for kind in TYPES}
-    return made
+    types = {machine_type.name: machine_type for machine_type in TYPES}
+    return Fleet(TuningOptions(headroom=0.0, swings=0.0), types, FixedTarget(TARGET_S))
 
 
 def waiting(age: float, **changes: Any) -> Job:
@@ -30,10 +43,10 @@
     return Job(spec, Version(1), Seconds(NOW - age))
 
 
-def want(
+def next_request(
     made: Fleet, jobs: list[Job], machines: list[Machine] | None = None
 ) -> ScaleOutRequest | None:
-    return made.wanted(jobs, TEAMS, {}, machines or [], NOW)
+    return made.next_scale_out(jobs, machines or [], TEAMS, CpuUse(), NOW)
 
 
 def full(count: int) -> list[Machine]:
@@ -44,7 +57,7 @@
     return machines
 
 
-def refuse_cheap(made: Fleet) -> None:
-    for kind in TYPES:
-        for zone in kind.zones:
-            made.pool(PoolKey(kind.name, zone, True)).refuse(NOW)
+def refuse_spot(made: Fleet) -> None:
+    for machine_type in TYPES:
+        for zone in machine_type.zones:
+            made.catalog.pool(PoolKey(machine_type.name, zone, True)).refuse(NOW)
--- a/tests/test_interruptions.py
+++ b/tests/test_interruptions.py
@@ -1,13 +1,15 @@
-"""Cheap machines that are taken back, and the work that had better not be on them."""
+"""Spot machines that are reclaimed, and the work that is at risk on them."""
 
 from __future__ import annotations
 
 from random import Random
 from typing import Any
 
+from crosscleat.core.capacity.capacity_targets import CpuUse
 from crosscleat.core.capacity.demand import Demand
-from crosscleat.core.capacity.fleet import Fleet, ScaleOutRequest
+from crosscleat.core.capacity.fleet import Fleet
 from crosscleat.core.capacity.interruptions import MAX_AT_ONCE, InterruptionStats
+from crosscleat.core.capacity.pools import ScaleOutRequest
 from crosscleat.core.model.deployment import TuningOptions
 from crosscleat.core.model.ids import MachineId, Seconds, Team, Version, Zone
 from crosscleat.core.scheduling.cycle import SchedulingCycle
@@ -16,21 +18,22 @@
 from crosscleat.core.state.jobs import Job
 from crosscleat.core.state.machine import Machine
 
+from .fleets import FixedTarget
 from .world import TEAMS, TYPES, deployment, job
 
 NOW = Seconds(500.0)
 
 
-def seen(per_hour: float, machines: int = 100, seconds: int = 600) -> InterruptionStats:
-    """What is learnt from so many machines that are taken so often."""
+def observed(per_hour: float, machines: int = 100, seconds: int = 600) -> InterruptionStats:
+    """What so many machines show that are reclaimed so often."""
     stats = InterruptionStats()
-    due = 0.0
+    expected = 0.0
     for _ in range(seconds):
-        due += machines * per_hour / 3600.0
-        while due >= 1.0:
-            due -= 1.0
-            stats.taken()
-        stats.passed(1.0, machines)
+        expected += machines * per_hour / 3600.0
+        while expected >= 1.0:
+            expected -= 1.0
+            stats.record_interruption()
+        stats.record_uptime(1.0, machines)
     return stats
 
 
@@ -42,7 +45,7 @@
 
 
 def test_work_is_at_risk_if_a_loss_is_likely_and_would_make_it_late() -> None:
-    often, seldom = seen(per_hour=6.0), seen(per_hour=0.2)
+    often, seldom = observed(per_hour=6.0), observed(per_hour=0.2)
     assert at_risk(often, estimate_s=45.0)
     assert not at_risk(seldom, estimate_s=45.0), "hardly any is lost"
     assert not at_risk(often, estimate_s=20.0, tasks=40), "it can be repeated in time"
@@ -54,22 +57,22 @@
 
 
 def test_a_burst_of_interruptions_says_little_of_the_usual_rate() -> None:
-    stats = seen(per_hour=0.2)
+    stats = observed(per_hour=0.2)
     before = stats.rate
     for _ in range(80):
-        stats.taken()
-    stats.passed(1.0, 100)
+        stats.record_interruption()
+    stats.record_uptime(1.0, 100)
     assert before < stats.rate <= before + MAX_AT_ONCE / 10_000.0
 
 
 def test_work_at_risk_takes_on_demand_machines_and_leaves_spot_ones_to_other_work() -> None:
     machines = [
-        Machine(MachineId(f"m-{'cheap' if spot else 'ordinary'}"), TYPES[1], Zone("a"), spot)
+        Machine(MachineId(f"m-{'spot' if spot else 'on-demand'}"), TYPES[1], Zone("a"), spot)
         for spot in (True, False)
     ]
-    for risky, expected in ((True, "m-ordinary"), (False, "m-cheap")):
+    for at_risk, expected in ((True, "m-on-demand"), (False, "m-spot")):
         one = Job(job("job-1", tasks=1), Version(1), NOW)
-        one.at_risk = risky
+        one.at_risk = at_risk
         scorer = Scorer(deployment("c0"), RunTimes())
         planned = SchedulingCycle(ClusterState(), scorer, TEAMS, Random(1), NOW, 0.05, 0.0).plan(
             [one], machines, 9
@@ -78,24 +81,23 @@
 
 
 def test_on_demand_machines_are_kept_for_work_that_is_nearly_always_at_risk() -> None:
-    made = Fleet(
-        TuningOptions(headroom=0.0, swings=0.0), lambda _: 60.0, lambda job: job.spec.estimate_s
-    )
-    made.types = {kind.name: kind for kind in TYPES}
-    cheap = [Machine(MachineId(f"m-{n}"), TYPES[1], Zone("a"), True, up=True) for n in range(10)]
+    types = {machine_type.name: machine_type for machine_type in TYPES}
+    made = Fleet(TuningOptions(headroom=0.0, swings=0.0), types, FixedTarget(60.0))
+    spot = [Machine(MachineId(f"m-{n}"), TYPES[1], Zone("a"), True, up=True) for n in range(10)]
 
-    def wanted(at: float, risky_cpus: float) -> ScaleOutRequest | None:
-        return made.wanted([], TEAMS, {Team("blue"): 60.0}, cheap, Seconds(at), risky_cpus)
+    def request(at: float, at_risk_cpus: float) -> ScaleOutRequest | None:
+        use = CpuUse({Team("blue"): 60.0}, at_risk=at_risk_cpus)
+        return made.next_scale_out([], spot, TEAMS, use, Seconds(at))
 
     for second in range(100):
         # What comes and goes is worth no machine that costs several times as much.
-        assert wanted(NOW + second, 64.0 if second % 4 == 3 else 0.0) is None
-    found = [wanted(NOW + 300.0 + second, 32.0) for second in range(10)]
+        assert request(NOW + second, 64.0 if second % 4 == 3 else 0.0) is None
+    found = [request(NOW + 300.0 + second, 32.0) for second in range(10)]
     assert all(one is not None and not one.pool.spot for one in found)
     own = [Machine(MachineId(f"o-{n}"), TYPES[1], Zone("a"), False) for n in range(5)]
     for one in own:
         one.up = True
         one.created_at = one.idle_since = Seconds(1.0)
-    made.demand = Demand()
-    made.demand.sample(0.0, Seconds(NOW + 310.0))
+    made.targets.demand = Demand()
+    made.targets.demand.sample(0.0, Seconds(NOW + 310.0))
     assert len(made.scale_in_candidates(own, TEAMS, Seconds(NOW + 310.0))) == 1
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -2,8 +2,7 @@
 
 from __future__ import annotations
 
-from crosscleat.core.capacity.fleet import ScaleOutRequest
-from crosscleat.core.capacity.pools import PoolKey
+from crosscleat.core.capacity.pools import PoolKey, ScaleOutRequest
 from crosscleat.core.control.leader import Leader
 from crosscleat.core.election.term import START_CONTACT_S
 from crosscleat.core.model.cloud_calls import DeleteMachines, Rent
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -5,6 +5,7 @@
 from random import Random
 from typing import Any
 
+from crosscleat.core.capacity.capacity_targets import CpuUse
 from crosscleat.core.model.deployment import TeamLimits, is_backfill
 from crosscleat.core.model.ids import (
     AgentEpoch,
@@ -23,7 +24,7 @@
 from crosscleat.core.state.jobs import Job
 from crosscleat.core.state.machine import Machine
 
-from .fleets import fleet, full, refuse_cheap, want
+from .fleets import fleet, full, next_request, refuse_spot
 from .fleets import waiting as waiting_for
 from .planning import NOW, machine, plan, waiting
 from .world import TEAMS, job
@@ -184,12 +185,12 @@
 
 def test_backfill_that_has_started_rents_no_expensive_machine() -> None:
     made = fleet()
-    refuse_cheap(made)
+    refuse_spot(made)
     backfill = waiting_for(120.0, tasks=5)
     backfill.backfill = True
-    assert want(made, [backfill], full(10)) is not None, "all of it begins"
+    assert next_request(made, [backfill], full(10)) is not None, "all of it begins"
     backfill.place(MachineId("m-0"), AgentEpoch(1))
-    assert want(made, [backfill], full(10)) is None
+    assert next_request(made, [backfill], full(10)) is None
 
 
 def test_no_warm_capacity_is_kept_for_backfill() -> None:
@@ -199,27 +200,24 @@
         running = waiting_for(30.0, tasks=10)
         running.backfill = backfills
         for second in range(60):
-            used = {"blue": 8.0}
-            made.wanted(
-                [running], TEAMS, used, full(10), Seconds(NOW + second), 0.0, 0.0,
-                8.0 if backfills else 0.0,
-            )  # fmt: skip
-        kept[backfills] = made.demand.mean()
+            use = CpuUse({"blue": 8.0}, backfill=8.0 if backfills else 0.0)
+            made.next_scale_out([running], full(10), TEAMS, use, Seconds(NOW + second))
+        kept[backfills] = made.targets.demand.mean()
     assert kept[True] == 0.0 < kept[False]
 
 
 def test_an_expensive_machine_used_by_backfill_alone_is_returned() -> None:
-    # After the guests' last urgent neighbours had ended, half empty ordinary machines stayed.
+    # After the guests' last urgent neighbours had ended, half empty on-demand machines stayed.
     teams = {**TEAMS, GUEST.name: GUEST}
     made = fleet()
     cluster = Cluster(1)
-    cheap, is_expensive = cluster.machines[0], machine("m-1", spot=False)
-    for one in (cheap, is_expensive):
+    spot, expensive = cluster.machines[0], machine("m-1", spot=False)
+    for one in (spot, expensive):
         one.up = True
         cluster.run(f"job-{one.id}", one, team=GUEST.name)
-    assert made.scale_in_candidates([cheap, is_expensive], teams, NOW) == [is_expensive]
-    cluster.run("job-x", is_expensive, team=Team("blue"))
-    assert made.scale_in_candidates([cheap, is_expensive], teams, NOW) == []
+    assert made.scale_in_candidates([spot, expensive], teams, NOW) == [expensive]
+    cluster.run("job-x", expensive, team=Team("blue"))
+    assert made.scale_in_candidates([spot, expensive], teams, NOW) == []
 
 
 def test_backfill_leaves_the_reserve_to_others() -> None:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -9,8 +9,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crosscleat.core.capacity.fleet import MAX_PER_RENTAL, MAX_PRICED, Fleet, Space
+from crosscleat.core.capacity.capacity_targets import CpuUse
+from crosscleat.core.capacity.fleet import MAX_PRICED, Fleet
 from crosscleat.core.capacity.machines import Machines
+from crosscleat.core.capacity.pool_catalog import PoolCatalog
+from crosscleat.core.capacity.pools import MAX_PER_RENTAL
 from crosscleat.core.control.leader import WATCHED_PER_S
 from crosscleat.core.control.progress import MAX_COUNTS
 from crosscleat.core.control.scheduler import PROMPT_MACHINES
@@ -21,6 +24,7 @@
 from crosscleat.core.model.worker_calls import DirectCommand
 from crosscleat.core.scheduling.cycle import MAX_JOBS, MIN_SAMPLE, SchedulingCycle
 from crosscleat.core.scheduling.feasibility import Feasibility
+from crosscleat.core.scheduling.free_capacity import FreeCapacity
 from crosscleat.core.scheduling.scoring import RunTimes, Scorer
 from crosscleat.core.state.allocations import Allocation
 from crosscleat.core.state.cluster import ClusterState
@@ -29,6 +33,7 @@
 from crosscleat.runtime.sockets import SocketBudget
 from crosscleat.wire import peers as peer_wire
 
+from .fleets import FixedTarget
 from .term import Term
 from .world import TYPES, deployment, job
 
@@ -86,12 +91,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     jobs, machines = flooded()
-    housed = counted(monkeypatch, Space, "house")
-    fleet = Fleet(TuningOptions(), lambda _: 60.0, lambda job: job.spec.estimate_s)
-    fleet.types = {kind.name: kind for kind in TYPES}
-    wanted = fleet.wanted(jobs, TEAMS, {}, machines, NOW)
-    assert wanted is not None
-    assert housed[0] <= JOBS * WITH_ROOM
+    for machine in machines:
+        machine.up = True
+    taken = counted(monkeypatch, FreeCapacity, "take_up_to")
+    types = {machine_type.name: machine_type for machine_type in TYPES}
+    fleet = Fleet(TuningOptions(), types, FixedTarget(60.0))
+    request = fleet.next_scale_out(jobs, machines, TEAMS, CpuUse(), NOW)
+    assert request is not None
+    assert 0 < taken[0] <= JOBS * WITH_ROOM
 
 
 def test_a_scheduling_cycle_looks_at_a_sample_of_a_thousand_jobs(
@@ -115,18 +122,18 @@
 def test_scaling_out_prices_a_sample_of_a_thousand_jobs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # hunt-d090-3: each second 800 jobs were compared with 16 kinds of machines in turn; one leader
+    # hunt-d090-3: each second 800 jobs were compared with 16 machine types in turn; one leader
     # after the other lost its lease under that.
     jobs = [
         Job(job(f"job-{n}", tasks=1, cpus=4.0), Version(1), Seconds(NOW - 50.0))
         for n in range(1_000)
     ]
-    priced = counted(monkeypatch, Fleet, "_pick")
-    fleet = Fleet(TuningOptions(), lambda _: 60.0, lambda job: job.spec.estimate_s)
-    fleet.types = {kind.name: kind for kind in TYPES}
-    wanted = fleet.wanted(jobs, TEAMS, {}, [], NOW)
-    assert wanted is not None and wanted.count == MAX_PER_RENTAL
-    assert priced[0] <= MAX_PRICED
+    priced = counted(monkeypatch, PoolCatalog, "cheapest_for_job")
+    types = {machine_type.name: machine_type for machine_type in TYPES}
+    fleet = Fleet(TuningOptions(), types, FixedTarget(60.0))
+    request = fleet.next_scale_out(jobs, [], TEAMS, CpuUse(), NOW)
+    assert request is not None and request.count == MAX_PER_RENTAL
+    assert 0 < priced[0] <= MAX_PRICED
 
 
 def test_jobs_that_fit_nowhere_leave_the_scheduling_cycle_to_others() -> None:
