--- a/src/crosscleat/core/capacity/machines.py
+++ b/src/crosscleat/core/capacity/machines.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from ..election.term import DRIFT, LeadingTerm
+from ..election.term import CLOCK_DRIFT, LeadingTerm
 from ..model.cloud import ListedMachine
 from ..model.cloud_calls import DeleteMachines, ListMachines
 from ..model.heartbeats import Heartbeat
@@ -124,7 +124,7 @@
         machine.created_at = machine.last_heard = term.now
         machine.pending_start_token = term.began_token - 1
         # An earlier leader's last contact was before our election.
-        machine.last_answer = Seconds(term.began + term.renew_s() * DRIFT)
+        machine.last_answer = Seconds(term.began + term.renewal_window_s() * CLOCK_DRIFT)
         self._cluster.machines[machine.id] = machine
 
     def enter_recorded(self, machine_id: MachineId) -> Machine:
@@ -274,7 +274,7 @@
         return max(booted, self._term.began + self._liveness.silent_s)
 
     def _end_lease(self, machine: Machine, now: Seconds) -> None:
-        lease_s = self._term.deployment.lease_s * DRIFT + LEASE_SLACK_S
+        lease_s = self._term.deployment.lease_s * CLOCK_DRIFT + LEASE_SLACK_S
         if machine.allocations and now > machine.last_answer + lease_s:
             for allocation in list(machine.allocations.values()):
                 self._attempts.ended(machine, allocation)
--- a/src/crosscleat/core/control/controller.py
+++ b/src/crosscleat/core/control/controller.py
@@ -224,7 +224,7 @@
 
     def _lead(self, stored: StoredState) -> None:
         """Begin a term with what earlier leaders left in the store."""
-        self.upgrade.learn(stored.formats)
+        self.upgrade.formats_read(stored.formats)
         leader = build_leader(
             self.deployment,
             self.election,
--- a/src/crosscleat/core/election/upgrade.py
+++ b/src/crosscleat/core/election/upgrade.py
@@ -1,9 +1,9 @@
-"""Whether all controllers have come to the version that knows gangs and may cut chunks.
+"""Whether all controllers run the version that knows gangs and may shorten chunks.
 
-Each puts a key of its own, `format/<member>`, into the store when it begins, and looks at those
-keys until all members have one. The version before knows nothing of them, so a member without a
-key may still be of that version, whether or not it can be heard. A key stays: a member that has
-come to this version is never again taken for one that has not.
+Each puts a key of its own, `format/<member>`, into the store when it begins, and reads those keys
+until all members have one. The version before knows nothing of them, so a member without a key may
+still run that version, whether or not it can be reached. A key stays: a member that runs this
+version is never again taken for one that does not.
 """
 
 from __future__ import annotations
@@ -15,9 +15,11 @@
 from ..model.store_calls import Commit, Committed, Conflict, Item, Listing, NoSuchLease, Put, Scan
 from ..state.keys import FORMAT
 
-VERSION = 2
+FORMAT_VERSION = 2
+"""What our key says; a later version may raise it."""
 
-AGAIN_S = 1.0
+POLL_S = 1.0
+"""Between two reads of the keys, and before a write without an answer is repeated."""
 
 
 class Upgrade:
@@ -30,37 +32,38 @@
         outbox: Outbox,
         completed: Callable[[], None],
     ) -> None:
+        """`completed` is called once, when all members are known to run this version."""
         self._key = FORMAT + member
         self._members = members
         self._outbox = outbox
         self._completed = completed
         self.complete = False
+        """Whether all controllers run this version."""
 
     def begin(self) -> None:
-        """Put our key, then look for those of the others."""
+        """Put our key, then read those of the others."""
+        write = Put(self._key, {"version": FORMAT_VERSION})
+        self._outbox.add(Commit(((self._key, ABSENT),), (write,), self._put))
 
-        def put(result: Committed | Conflict | NoSuchLease | None) -> None:
-            # A conflict: an earlier process of ours has put it, or this very try did.
-            if isinstance(result, (Committed, Conflict)):
-                self._look()
-            else:
-                self._outbox.add(Delay(AGAIN_S, self.begin))
+    def _put(self, result: Committed | Conflict | NoSuchLease | None) -> None:
+        # A conflict: an earlier process of ours has put it, or this very try did.
+        if isinstance(result, (Committed, Conflict)):
+            self._read()
+        else:
+            self._outbox.add(Delay(POLL_S, self.begin))
 
-        write = Put(self._key, {"version": VERSION})
-        self._outbox.add(Commit(((self._key, ABSENT),), (write,), put))
+    def _read(self) -> None:
+        self._outbox.add(Scan(FORMAT, self._scanned))
 
-    def _look(self) -> None:
-        def looked(listing: Listing | None) -> None:
-            if listing is not None:
-                self.learn(listing.items)
-            if not self.complete:
-                self._outbox.add(Delay(AGAIN_S, self._look))
+    def _scanned(self, listing: Listing | None) -> None:
+        if listing is not None:
+            self.formats_read(listing.items)
+        if not self.complete:
+            self._outbox.add(Delay(POLL_S, self._read))
 
-        self._outbox.add(Scan(FORMAT, looked))
-
-    def learn(self, items: Iterable[Item]) -> None:
+    def formats_read(self, items: Iterable[Item]) -> None:
         """Take in the keys as the store has them now."""
-        found = {item.key.removeprefix(FORMAT) for item in items}
-        if not self.complete and found.issuperset(self._members):
+        members = {item.key.removeprefix(FORMAT) for item in items}
+        if not self.complete and members.issuperset(self._members):
             self.complete = True
             self._completed()
--- a/tests/term.py
+++ b/tests/term.py
@@ -53,7 +53,7 @@
 
     def step(self, seconds: float) -> None:
         self.now = self.leader.term.now = Seconds(self.now + seconds)
-        self.leader.term.election.contact = self.leader.term.watched = self.now
+        self.leader.term.election.contact = self.leader.term.jobs_known_at = self.now
 
     def heartbeat(
         self,
