--- a/src/crosscleat/adapters/pacer.py
+++ b/src/crosscleat/adapters/pacer.py
@@ -1,4 +1,4 @@
-"""A share of an allowance that is counted per second."""
+"""Keeps a client to its share of a rate limit that is counted per second."""
 
 from __future__ import annotations
 
@@ -6,23 +6,25 @@
 
 from .clock import steady
 
+MIN_SLEEP_S = 0.005
+
 
 class Pacer:
-    """A token bucket of one second's worth."""
+    """A token bucket that holds what `rate` allows in one second, and at least one request."""
 
     def __init__(self, rate: float) -> None:
         self._rate = rate
         self._burst = max(1.0, rate)
         self._tokens = self._burst
-        self._at = steady()
+        self._refilled_at = steady()
 
     def _refill(self) -> None:
         now = steady()
-        self._tokens = min(self._burst, self._tokens + (now - self._at) * self._rate)
-        self._at = now
+        self._tokens = min(self._burst, self._tokens + (now - self._refilled_at) * self._rate)
+        self._refilled_at = now
 
-    def spare(self, amount: float) -> bool:
-        """Use the amount if it is there now; a user is told to come back rather than kept."""
+    def try_take(self, amount: float) -> bool:
+        """Take the amount if it is there now; False: nothing was taken."""
         self._refill()
         if self._tokens < amount:
             return False
@@ -30,10 +32,13 @@
         return True
 
     async def take(self, amount: float) -> None:
-        """Wait until the amount may be used; large amounts go once the bucket is full."""
+        """Wait until the amount may be taken.
+
+        One that the bucket never holds is taken once it is full, and leaves a debt.
+        """
         needed = min(amount, self._burst)
         self._refill()
         while self._tokens < needed:
-            await asyncio.sleep(max(0.005, (needed - self._tokens) / self._rate))
+            await asyncio.sleep(max(MIN_SLEEP_S, (needed - self._tokens) / self._rate))
             self._refill()
         self._tokens -= amount
--- a/src/crosscleat/adapters/state_client.py
+++ b/src/crosscleat/adapters/state_client.py
@@ -101,7 +101,7 @@
 
     def _refuses_user_read(self) -> bool:
         """Users are told to come back rather than kept waiting."""
-        return self._connection.is_down() or not self._reads.spare(1.0)
+        return self._connection.is_down() or not self._reads.try_take(1.0)
 
     async def read(self, call: Read) -> Found | None:
         """One key; None: no answer."""
--- a/src/crosscleat/cli.py
+++ b/src/crosscleat/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line: flags, variables and the start of a controller."""
 
 from __future__ import annotations
 
@@ -14,38 +14,41 @@
 from .core.model.deployment import TuningOptions
 from .settings import SettingsError, load
 
+MAX_VALUE = 1e9
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 HELP = {
     "weight": "utility-cost weighting factor, from 0 (utility alone) to 1 (cost alone)",
-    "drop_threshold": "utility below which waiting tasks are set aside",
-    "round_s": "seconds between full rounds",
-    "prompt_round_s": "shortest time between rounds that something new brings about",
+    "drop_threshold": "utility below which a waiting task is left out of a scheduling cycle",
+    "round_s": "seconds between full scheduling cycles",
+    "prompt_round_s": "minimum seconds between prompt scheduling cycles",
     "period_s": "length of a budget period in seconds",
     "budget_factor": "budget of a period, as a multiple of the guarantees' cost",
-    "headroom": "least room kept free, as a share of usual demand",
-    "swings": "room kept free, in standard deviations of recent demand",
+    "headroom": "minimum free capacity, as a share of usual demand",
+    "swings": "free capacity, in standard deviations of recent demand",
     "idle_return_s": "seconds after which an idle machine may be returned",
-    "silence_leases": "leases' worth of silence after which a machine is given up",
+    "silence_leases": "time without heartbeat after which a machine is given up, in worker leases",
 }
 
 
 def variable(option: str) -> str:
-    """The environment variable of a setting."""
+    """The environment variable of a tuning option."""
     return "CROSSCLEAT_" + option.upper()
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """The command line."""
+    """The parser of the command line, with a flag for each tuning option."""
     parser = argparse.ArgumentParser(
         prog="crosscleat", description="A cluster scheduler's controller."
     )
     parser.add_argument("--version", action="version", version=f"crosscleat {__version__}")
     parser.add_argument("--config", type=Path, required=True, metavar="FILE", help="settings file")
     parser.add_argument("--check", action="store_true", help="check the settings file and stop")
-    tuning = parser.add_argument_group("knobs", "each can also be set by the variable named")
+    group = parser.add_argument_group(
+        "tuning options", "each can also be set by the variable named"
+    )
     for option in dataclasses.fields(TuningOptions):
-        tuning.add_argument(
+        group.add_argument(
             "--" + option.name.replace("_", "-"),
             type=float,
             metavar="N",
@@ -54,21 +57,18 @@
     return parser
 
 
-def read_tuning_options(given: argparse.Namespace, environ: Mapping[str, str]) -> TuningOptions:
-    """Flags first, then variables, then defaults."""
+def read_tuning_options(arguments: argparse.Namespace, environ: Mapping[str, str]) -> TuningOptions:
+    """Each option from its flag, else its variable, else its default; raises SettingsError."""
     values: dict[str, float] = {}
     for option in dataclasses.fields(TuningOptions):
-        value = getattr(given, option.name)
-        name = variable(option.name)
-        if value is None and name in environ:
-            try:
-                value = float(environ[name])
-            except ValueError as error:
-                raise SettingsError(f"{name}: not a number: {environ[name]!r}") from error
-        if value is not None:
-            if not 0.0 <= value < 1e9:
-                raise SettingsError(f"{option.name}: out of range: {value}")
-            values[option.name] = value
+        value = getattr(arguments, option.name)
+        if value is None:
+            value = _read_variable(variable(option.name), environ)
+        if value is None:
+            continue
+        if not 0.0 <= value < MAX_VALUE:
+            raise SettingsError(f"{option.name}: out of range: {value}")
+        values[option.name] = value
     tuning = TuningOptions(**values)
     if tuning.weight > 1.0:
         raise SettingsError("weight: must be from 0 to 1")
@@ -78,20 +78,29 @@
     return tuning
 
 
-def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the command line; returns the exit status."""
-    given = build_parser().parse_args(arguments)
+def _read_variable(name: str, environ: Mapping[str, str]) -> float | None:
+    if name not in environ:
+        return None
+    try:
+        return float(environ[name])
+    except ValueError as error:
+        raise SettingsError(f"{name}: not a number: {environ[name]!r}") from error
+
+
+def main(argv: Sequence[str] | None = None) -> int:
+    """Run the command line; returns the exit status: 2 if settings are missing or invalid."""
+    arguments = build_parser().parse_args(argv)
     level = os.environ.get("LOG_LEVEL", "info")
     try:
         if level not in LEVELS:
             raise SettingsError(f"LOG_LEVEL: must be one of {', '.join(LEVELS)}, not {level!r}")
-        tuning = read_tuning_options(given, os.environ)
-        settings = load(given.config)
+        tuning = read_tuning_options(arguments, os.environ)
+        settings = load(arguments.config)
     except SettingsError as error:
         print(f"crosscleat: {error}", file=sys.stderr)
         return 2
-    if given.check:
-        print(f"{given.config}: ok, {settings.member} with {len(settings.peers)} peers")
+    if arguments.check:
+        print(f"{arguments.config}: ok, {settings.member} with {len(settings.peers)} peers")
         return 0
     logging.basicConfig(
         level=LEVELS[level],
--- a/src/crosscleat/settings.py
+++ b/src/crosscleat/settings.py
@@ -1,4 +1,8 @@
-"""The platform's settings file, and the operators' knobs that flags and variables add to it."""
+"""The settings file that the platform writes for each controller.
+
+The structures have the names of the file; `Settings.deployment` maps them to the core's terms. What
+the file has beside them is ignored. Names that end in `_s` are seconds, in `_kb` KiB.
+"""
 
 from __future__ import annotations
 
@@ -15,15 +19,16 @@
 
 Positive = Annotated[float, Meta(gt=0.0, le=1e9)]
 Amount = Annotated[float, Meta(ge=0.0, le=1e9)]
-LeastValue = Annotated[float, Meta(ge=1.5, le=1e6)]
+ValueLimit = Annotated[float, Meta(ge=1.5, le=1e6)]
 """In KiB. A job's own record takes up to 1.3."""
-LeastOps = Annotated[int, Meta(ge=4)]
+OperationLimit = Annotated[int, Meta(ge=4)]
+"""Writes in one transaction."""
 Name = Annotated[str, Meta(min_length=1, max_length=100)]
 Address = Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$")]
 
 
 class SettingsError(CrosscleatError):
-    """One line that says which setting is missing or makes no sense."""
+    """A setting is missing or invalid; one line says which, and where it was read."""
 
 
 class Peer(msgspec.Struct):
@@ -35,14 +40,14 @@
 
 
 class Endpoints(msgspec.Struct):
-    """Addresses of the services outside."""
+    """Addresses of the cloud's API and of the key-value store."""
 
     cloud: Address
     state: Address
 
 
 class TeamSettings(msgspec.Struct):
-    """Guarantee and limit of a team; 0: none."""
+    """The quota of a team: what it is guaranteed and the most it may use; 0: none."""
 
     name: Name
     cpus: Amount = 0.0
@@ -52,7 +57,7 @@
 
 
 class ObjectiveSettings(msgspec.Struct, rename={"job_class": "class"}):
-    """One of the aims."""
+    """A service-level objective of a class of jobs."""
 
     kind: str
     job_class: str | None = None
@@ -60,7 +65,7 @@
 
 
 class WorkerSettings(msgspec.Struct):
-    """Times that workers keep to."""
+    """Times that workers keep to: heartbeats, their lease, and waiting for gang members."""
 
     report_s: Positive
     lease_s: Positive
@@ -70,25 +75,28 @@
 
 
 class NextLimits(msgspec.Struct):
-    """Limits that the state service will have at some later time, without notice."""
+    """Limits that the key-value store will have from some later time on, without notice."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
-    value_kb: LeastValue | None = None
-    txn_ops: LeastOps | None = None
+    value_kb: ValueLimit | None = None
+    txn_ops: OperationLimit | None = None
 
 
 class StateSettings(msgspec.Struct):
-    """Limits of the state service."""
+    """Limits of the key-value store: requests and writes a second, value size, transactions."""
 
     rps: Positive
     write_rps: Positive
-    value_kb: LeastValue
-    txn_ops: LeastOps
+    value_kb: ValueLimit
+    txn_ops: OperationLimit
     next: NextLimits = msgspec.field(default_factory=NextLimits)
 
     def tighter(self) -> StateSettings:
-        """What holds now and later: nothing is written that may be refused from some moment on."""
+        """The limits that hold now and later.
+
+        Nothing is written that the store may refuse from some time on.
+        """
         later = self.next
         return StateSettings(
             rps=min(self.rps, later.rps or self.rps),
@@ -99,7 +107,7 @@
 
 
 class CloudSettings(msgspec.Struct):
-    """Limits of the cloud API."""
+    """Limits of the cloud's API: requests a second."""
 
     rps: Positive
 
@@ -111,7 +119,7 @@
 
 
 class Params(msgspec.Struct):
-    """The part that is the same for all controllers."""
+    """The settings that are the same for all controllers."""
 
     teams: list[TeamSettings]
     workers: WorkerSettings
@@ -122,7 +130,7 @@
 
 
 class Settings(msgspec.Struct):
-    """A controller's settings file."""
+    """The settings of one controller."""
 
     member: Name
     listen: Address
@@ -133,7 +141,7 @@
     peers: list[Peer] = []
 
     def deployment(self, tuning: TuningOptions) -> Deployment:
-        """What decisions depend on."""
+        """The settings that decisions depend on, in the core's terms."""
         params = self.settings
         state = params.state.tighter()
         members = {self.member, *(peer.member for peer in self.peers)}
@@ -141,10 +149,15 @@
             member=Member(self.member),
             members=tuple(Member(member) for member in sorted(members)),
             teams={
-                Team(t.name): TeamLimits(Team(t.name), t.cpus, t.cpus_max, t.gpus, t.gpus_max)
-                for t in params.teams
+                Team(team.name): TeamLimits(
+                    Team(team.name), team.cpus, team.cpus_max, team.gpus, team.gpus_max
+                )
+                for team in params.teams
             },
-            objectives=tuple(Objective(o.kind, o.job_class, o.within_s) for o in params.objectives),
+            objectives=tuple(
+                Objective(objective.kind, objective.job_class, objective.within_s)
+                for objective in params.objectives
+            ),
             heartbeat_interval_s=params.workers.report_s,
             lease_s=params.workers.lease_s,
             cancel_s=params.workers.cancel_s,
--- a/tests/test_encoded_settings.py
+++ b/tests/test_encoded_settings.py
@@ -187,7 +187,7 @@
 # Flags and variables
 
 GIVEN = 0.375
-KNOBS = [
+TUNING_FLAGS = [
     ("--weight", "CROSSCLEAT_WEIGHT", TuningOptions(weight=GIVEN)),
     ("--drop-threshold", "CROSSCLEAT_DROP_THRESHOLD", TuningOptions(drop_threshold=GIVEN)),
     ("--round-s", "CROSSCLEAT_ROUND_S", TuningOptions(round_s=GIVEN)),
@@ -217,7 +217,9 @@
     assert read_tuning_options(build_parser().parse_args(["--config", "f"]), {}) == DEFAULT_TUNING
 
 
-@pytest.mark.parametrize(("flag", "name", "tuning"), KNOBS, ids=[flag for flag, _, _ in KNOBS])
+@pytest.mark.parametrize(
+    ("flag", "name", "tuning"), TUNING_FLAGS, ids=[flag for flag, _, _ in TUNING_FLAGS]
+)
 def test_each_flag_and_variable_sets_its_option(
     flag: str, name: str, tuning: TuningOptions
 ) -> None:
@@ -230,9 +232,9 @@
 
 def test_the_help_names_all_flags_and_variables() -> None:
     text = build_parser().format_help()
-    flags = {flag for flag, _, _ in KNOBS} | {"--help", "--version", "--config", "--check"}
+    flags = {flag for flag, _, _ in TUNING_FLAGS} | {"--help", "--version", "--config", "--check"}
     assert set(re.findall(r"(?<![\w-])--[a-z][a-z-]*", text)) == flags
-    assert set(re.findall(r"CROSSCLEAT_\w+", text)) == {name for _, name, _ in KNOBS}
+    assert set(re.findall(r"CROSSCLEAT_\w+", text)) == {name for _, name, _ in TUNING_FLAGS}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_pacer.py
+++ b/tests/test_pacer.py
@@ -10,14 +10,14 @@
 def test_what_is_spent_is_not_there_again_at_once() -> None:
     # At this rate nothing to speak of comes back while the test runs.
     pacer = Pacer(1e-6)
-    assert pacer.spare(1.0)
-    assert not pacer.spare(1.0)
+    assert pacer.try_take(1.0)
+    assert not pacer.try_take(1.0)
 
 
 def test_more_than_a_seconds_worth_goes_once_the_bucket_is_full() -> None:
     async def run() -> bool:
         pacer = Pacer(50.0)
         await pacer.take(60.0)
-        return pacer.spare(49.0)
+        return pacer.try_take(49.0)
 
     assert not asyncio.run(run())
