--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import ast
+import re
 from collections.abc import Iterator
 from pathlib import Path
 
@@ -87,3 +88,19 @@
     }
 
     assert {name: found for name, found in imports.items() if found} == {}
+
+
+def test_the_modules_that_the_architecture_names_exist() -> None:
+    text = (ROOT.parent.parent / "docs" / "architecture.md").read_text()
+    modules = [f"/{path.relative_to(ROOT)}" for path in ROOT.rglob("*.py")] + ["/run.py"]
+    packages = [f"/{path.parent.relative_to(ROOT)}" for path in ROOT.rglob("__init__.py")]
+
+    named = set(re.findall(r"[a-z_/]*[a-z_]+\.py\b", text)) - {"tests/test_architecture.py"}
+    folders = {
+        name.rstrip("/")
+        for name in re.findall(r"`((?:core/|wire|adapters|runtime)[a-z_/]*)`", text)
+    }
+
+    assert named
+    assert {name for name in named if not any(m.endswith(f"/{name}") for m in modules)} == set()
+    assert {name for name in folders if not any(p.endswith(f"/{name}") for p in packages)} == set()
