--- a/src/crosscleat/core/control/scheduler.py
+++ b/src/crosscleat/core/control/scheduler.py
@@ -12,8 +12,9 @@
 from ..model.ids import JobRef, Member, Seconds
 from ..model.shards import ShardProposal
 from ..scheduling.cycle import MAX_ASSIGNMENTS, SchedulingCycle
+from ..scheduling.feasibility import CycleContext, CycleReserves
 from ..scheduling.free_capacity import Assignment, fetch_time
-from ..scheduling.preemption import INTERVAL_S, Preemption
+from ..scheduling.preemption import INTERVAL_S, choose_victims
 from ..scheduling.quota import within_limit
 from ..scheduling.scoring import RunTimes, Scorer
 from ..scheduling.shard_dispatch import ShardDispatcher
@@ -118,26 +119,21 @@
         if self._preempt_later:
             return
         self._preempt_at = Seconds(now + INTERVAL_S)
-        teams = self._term.deployment.teams
-        preemption = Preemption(self._cluster, teams, self._jobs, machines, self._rng, now)
-        victims = preemption.choose(jobs)
+        context = CycleContext(self._cluster, self._term.deployment.teams, now)
+        victims = choose_victims(context, self._jobs, jobs, machines, self._rng)
         for machine, allocation in victims:
             self._attempts.preempt(machine, allocation)
         if victims:
             self._term.outbox.log("debug", f"{len(victims)} tasks stopped for more urgent work")
 
     def _new_cycle(self, now: Seconds) -> SchedulingCycle:
-        return SchedulingCycle(
-            self._cluster,
-            self._scorer,
-            self._term.deployment.teams,
-            self._rng,
-            now,
-            self._term.deployment.tuning.drop_threshold,
-            self._urgent_reserve(),
-            self._fleet.targets.on_demand_only.large_job_cpus(),
-            self._fleet.targets.spare_cpus(),
+        reserves = CycleReserves(
+            urgent_cpus=self._urgent_reserve(),
+            on_demand_cpus=self._fleet.targets.on_demand_only.large_job_cpus(),
+            backfill_cpus=self._fleet.targets.spare_cpus(),
         )
+        context = CycleContext(self._cluster, self._term.deployment.teams, now, reserves)
+        return SchedulingCycle(context, self._scorer, self._rng)
 
     def _plannable(self) -> Iterator[Job]:
         return (job for job in self._jobs.values() if not job.cancelled and not job.needs_reread)
@@ -163,7 +159,7 @@
         if not shards:
             return
         machines = self._usable(now)
-        left = self._new_cycle(now).kept_for_on_demand(machines)
+        left = self._new_cycle(now).machines_kept_for_on_demand(machines)
         machines = [machine for machine in machines if machine.id not in left]
         reservations = self._new_cycle(now).reservations(self._plannable(), machines)
         factors = self._run_times.factors
--- a/src/crosscleat/core/scheduling/feasibility.py
+++ b/src/crosscleat/core/scheduling/feasibility.py
@@ -1,11 +1,12 @@
-"""What one planning round may still place where: room, quotas, zones and reservations.
+"""What one scheduling cycle may still place where: capacity, quotas, zones and reservations.
 
-It counts what the round itself has taken on top of what the ledger knows.
+It counts what the cycle itself has assigned on top of the allocations that the cluster state has.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from dataclasses import dataclass
 
 from ..model.deployment import TeamLimits
 from ..model.ids import JobRef, MachineId, Seconds, Team, Zone
@@ -16,81 +17,105 @@
 from .free_capacity import FreeCapacity, Reservation, fetch_time
 from .quota import within_limit
 
-RESERVED_FROM_ALL_S = 60.0
-"""Work of a higher priority may use a reserved machine until its job has waited so long."""
+RESERVED_FROM_ALL_AFTER_S = 60.0
+"""Work of a higher priority may use a reserved machine until the job that it is reserved for has
+waited so long."""
 
-PATIENCE_S = 60.0
-"""A job of which no task has been on a machine for so long may use whatever room there is: none
-waits for 90 s while a machine has room for it."""
+IGNORES_RESERVES_AFTER_S = 60.0
+"""A job of which no task has been on a machine for so long may use any free capacity: none is
+to wait for 90 s while a machine could have it."""
 
-GANG_AFTER_S = 0.5
-"""A gang that has waited so long goes before all others, and into room left to urgent work."""
+GANG_FIRST_AFTER_S = 0.5
+"""A gang that has waited so long goes before all others, and may use the urgent reserve."""
 
 LARGE_SHARE = 0.3
-"""A task that takes so much of a machine finds no room where small ones take whatever is freed."""
+"""A task that takes so much of a machine finds no place where small ones take whatever is freed."""
 
-QUOTA_SHARE = 0.05
+URGENT_QUOTA_SHARE = 0.05
 """At most this part of a team's limit is left to urgent work."""
 
+URGENT_QUOTA_FROM = 0.5
+"""From which part of the limit in use something of it is left to urgent work."""
+
+URGENT_QUOTA_RESERVES = 2.0
+"""How many times the reserve for urgent work is left of a team's limit."""
+
+
+@dataclass(frozen=True, slots=True)
+class CycleReserves:
+    """Free CPUs that a cycle leaves to other work."""
+
+    urgent_cpus: float = 0.0
+    """What work that is less than urgent leaves free."""
+    on_demand_cpus: float = 0.0
+    """On on-demand machines, what work that may use spot machines leaves free."""
+    backfill_cpus: float = 0.0
+    """What backfill leaves free."""
+
+
+@dataclass(frozen=True, slots=True)
+class CycleContext:
+    """What a scheduling cycle or a preemption pass is planned with."""
+
+    cluster: ClusterState
+    teams: dict[Team, TeamLimits]
+    now: Seconds
+    reserves: CycleReserves = CycleReserves()
+
 
 class Feasibility:
-    """The room of a round as it is being used up."""
-
-    def __init__(
-        self,
-        cluster: ClusterState,
-        teams: dict[Team, TeamLimits],
-        now: Seconds,
-        urgent_reserve: float,
-        backfill_reserve: float = 0.0,
-    ) -> None:
-        self._cluster = cluster
-        self._teams = teams
-        self._now = now
-        self._urgent_reserve = urgent_reserve
-        self._backfill_reserve = backfill_reserve
-        self._cpus = dict(cluster.team_cpus)
-        self._gpus = dict(cluster.team_gpus)
-        self._zones: dict[JobRef, dict[str, int]] = {}
+    """The free capacity and quota of a cycle as they are being used up."""
+
+    def __init__(self, context: CycleContext, machines: Iterable[Machine]) -> None:
+        """`machines` are those on which the cycle may place."""
+        self._cluster = context.cluster
+        self._teams = context.teams
+        self._now = context.now
+        self._urgent_reserve = context.reserves.urgent_cpus
+        self._backfill_reserve = context.reserves.backfill_cpus
+        self._cpus = dict(context.cluster.team_cpus)
+        self._gpus = dict(context.cluster.team_gpus)
+        self._zones: dict[JobRef, dict[Zone, int]] = {}
+        """How many tasks of each job that must be in one or several zones the cycle has placed."""
         self._fetches: dict[tuple[MachineId, str], float] = {}
+        """Seconds until an image that the cycle makes a machine fetch is there."""
         self._taken: dict[JobRef, int] = {}
+        self.candidates = [FreeCapacity.of(machine) for machine in machines]
         self._free_cpus = 0.0
-        self.candidates: list[FreeCapacity] = []
-
-    def add_machines(self, machines: Iterable[Machine]) -> None:
-        """The machines on which the round may place."""
-        for machine in machines:
-            candidate = FreeCapacity.of(machine)
+        for candidate in self.candidates:
             self._free_cpus += max(0.0, candidate.cpus)
-            self.candidates.append(candidate)
 
     def taken(self, job: Job) -> int:
-        """How many tasks of the job this round has placed."""
+        """How many tasks of the job this cycle has placed."""
         return self._taken.get(job.ref, 0)
 
-    def impatient(self, job: Job) -> bool:
-        """Whether its next task is kept from no room that is left for others."""
+    def ignores_reserves(self, job: Job) -> bool:
+        """Whether its next task may use free capacity that is left to other work."""
         first = job.gang or job.ref not in self._taken
-        return first and job.idle_s(self._now) > PATIENCE_S
+        return first and job.idle_s(self._now) > IGNORES_RESERVES_AFTER_S
 
     def gang_goes_first(self, job: Job) -> bool:
         """Whether it is a gang that has waited for so long that it goes before all others."""
-        return job.gang and job.idle_s(self._now) > GANG_AFTER_S
+        return job.gang and job.idle_s(self._now) > GANG_FIRST_AFTER_S
 
     def admits(self, job: Job, candidate: FreeCapacity) -> bool:
         """Whether the job's next task may go there."""
         if not candidate.fits(job.spec) or not candidate.machine.allowed(job.spec):
             return False
-        if self._held_back(job, candidate) and not self.impatient(job):
+        if self._is_kept_from(job, candidate) and not self.ignores_reserves(job):
             return False
         return self._zone_admits(job, candidate.machine)
 
-    def _held_back(self, job: Job, candidate: FreeCapacity) -> bool:
-        """Whether the room is left to other work, or the job has failed there."""
+    def _is_kept_from(self, job: Job, candidate: FreeCapacity) -> bool:
+        """Whether the capacity is left to other work, or the job has failed there."""
         reservation = candidate.reservation
         if reservation is not None and not self._may_use(job, reservation):
             return True
-        if candidate.kept_for_on_demand and job.spec.spot and not self._large(job, candidate):
+        if (
+            candidate.kept_for_on_demand
+            and job.spec.spot
+            and not self._takes_large_share(job, candidate)
+        ):
             return True
         if not self._leaves_urgent_reserve(job, 1):
             return True
@@ -101,12 +126,12 @@
         if reservation.job == job.ref:
             return True
         if self.gang_goes_first(job):
-            # Its own turn has come; of two gangs the older has reserved what both would use.
+            # Of two gangs the older has reserved what both would use.
             return not reservation.gang
         waited = self._now - reservation.submitted
-        return job.spec.priority > reservation.priority and waited < RESERVED_FROM_ALL_S
+        return job.spec.priority > reservation.priority and waited < RESERVED_FROM_ALL_AFTER_S
 
-    def _large(self, job: Job, candidate: FreeCapacity) -> bool:
+    def _takes_large_share(self, job: Job, candidate: FreeCapacity) -> bool:
         """Whether a task of it needs much of the machine, and so finds few others."""
         return job.spec.cpus >= LARGE_SHARE * candidate.machine.type.cpus
 
@@ -117,23 +142,23 @@
         return self._free_cpus - count * job.spec.cpus >= reserve
 
     def admits_all(self, job: Job, count: int) -> bool:
-        """Whether so many tasks at once keep to the team's limit and leave room to urgent work."""
-        if not self._leaves_urgent_reserve(job, count) and not self.impatient(job):
+        """Whether so many tasks at once keep to the team's limit and to the reserves."""
+        if not self._leaves_urgent_reserve(job, count) and not self.ignores_reserves(job):
             return False
         return self.team_admits(job, count)
 
-    def zone_left(self, job: Job, zone: Zone) -> int:
+    def tasks_left_in_zone(self, job: Job, zone: Zone) -> int:
         """How many more tasks of the job may be in the zone."""
         spec = job.spec
         if not self._cluster.zone_allows(spec, zone):
             return 0
         if not spec.spread:
             return spec.tasks
-        mine = self._zones.get(job.ref, {})
-        return spec.per_zone() - self._cluster.in_zone(spec, zone) - mine.get(zone, 0)
+        placed = self._zones.get(job.ref, {})
+        return spec.per_zone() - self._cluster.in_zone(spec, zone) - placed.get(zone, 0)
 
     def _failed_everywhere(self, job: Job) -> bool:
-        """It failed on every machine that it could be on: then any of them may try again."""
+        """Whether it failed on each machine that it could be on: then any of them may try again."""
         return all(
             candidate.machine.id in job.failed_on
             for candidate in self.candidates
@@ -145,14 +170,14 @@
         spec = job.spec
         if not spec.one_zone and not spec.spread:
             return True
-        mine = self._zones.get(job.ref, {})
+        placed = self._zones.get(job.ref, {})
         if not self._cluster.zone_allows(spec, machine.zone):
             return False
-        if spec.one_zone and any(zone != machine.zone for zone in mine):
+        if spec.one_zone and any(zone != machine.zone for zone in placed):
             return False
         if spec.spread:
             before = self._cluster.in_zone(spec, machine.zone)
-            return before + mine.get(machine.zone, 0) < spec.per_zone()
+            return before + placed.get(machine.zone, 0) < spec.per_zone()
         return True
 
     def team_admits(self, job: Job, count: int = 1) -> bool:
@@ -163,12 +188,13 @@
         used = self._cpus.get(job.spec.team, 0.0) + (count - 1) * job.spec.cpus
         cpus = used + job.spec.cpus
         gpus = self._gpus.get(job.spec.team, 0.0) + count * job.spec.gpus
-        most = limits.cpus_max
-        saved = job.spec.priority < Priority.HIGH and not self.impatient(job)
-        if saved and used > 0.5 * most > 0.0:
-            # A limit is room like any other: the last of it is for urgent work.
-            most -= min(2.0 * self._urgent_reserve, QUOTA_SHARE * most)
-        return within_limit(cpus, most) and within_limit(gpus, limits.gpus_max)
+        cpu_limit = limits.cpus_max
+        leaves_some = job.spec.priority < Priority.HIGH and not self.ignores_reserves(job)
+        if leaves_some and used > URGENT_QUOTA_FROM * cpu_limit > 0.0:
+            # The last of a limit is left to urgent work, as the last of the free capacity is.
+            urgent_cpus = URGENT_QUOTA_RESERVES * self._urgent_reserve
+            cpu_limit -= min(urgent_cpus, URGENT_QUOTA_SHARE * cpu_limit)
+        return within_limit(cpus, cpu_limit) and within_limit(gpus, limits.gpus_max)
 
     def take(self, job: Job, candidate: FreeCapacity) -> None:
         """Place one task of the job there."""
--- a/src/crosscleat/core/scheduling/free_capacity.py
+++ b/src/crosscleat/core/scheduling/free_capacity.py
@@ -2,13 +2,14 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass
-from typing import NamedTuple
+from typing import NamedTuple, Protocol, TypeVar
 
 import msgspec
 
 from ..model.cloud import MachineType
-from ..model.ids import JobRef, MachineId, Seconds
+from ..model.ids import JobRef, MachineId, Seconds, Zone
 from ..model.job_spec import JobSpec, Priority
 from ..state.jobs import Job
 from ..state.machine import Machine
@@ -109,6 +110,25 @@
         self.memory_gb += spec.memory_gb
 
 
+class HasMachine(Protocol):
+    """Something that belongs to one machine, or to machines of one zone."""
+
+    @property
+    def machine(self) -> Machine:
+        """The machine that tells the zone."""
+
+
+OfMachine = TypeVar("OfMachine", bound=HasMachine)
+
+
+def by_zone(items: Iterable[OfMachine]) -> list[list[OfMachine]]:
+    """The items of each zone, in their order."""
+    zones: dict[Zone, list[OfMachine]] = {}
+    for item in items:
+        zones.setdefault(item.machine.zone, []).append(item)
+    return list(zones.values())
+
+
 def count_fitting(spec: JobSpec, cpus: float, memory_gb: float, gpus: float) -> int:
     """How many of the job's tasks fit in so much free capacity."""
     ratios = ((spec.cpus, cpus), (spec.memory_gb, memory_gb), (spec.gpus, gpus))
--- a/src/crosscleat/core/scheduling/preemption.py
+++ b/src/crosscleat/core/scheduling/preemption.py
@@ -1,42 +1,46 @@
-"""Which running tasks are stopped to make room for others.
+"""Which running tasks are stopped so that others can be placed.
 
 Work yields to work of a higher priority if its own is the lowest, or if its team has no guarantee;
 and work of a team without a guarantee yields to a team that is within its own.
-A task that was told to stop keeps its room until it is proven gone, so the room that is being
-freed is reckoned with before more tasks are stopped, and a later round places what waits.
+A task that was told to stop keeps its allocation until its end is proven, so the capacity that is
+being freed is counted before more tasks are stopped, and a later cycle places what waits.
 """
 
 from __future__ import annotations
 
 import heapq
-from collections.abc import Iterable, Iterator
+from collections.abc import Collection, Iterable, Iterator
 from dataclasses import dataclass, field
 from random import Random
 from typing import NamedTuple
 
 from ..model.deployment import TeamLimits, has_guarantee
-from ..model.ids import JobRef, MachineId, Seconds, Team
+from ..model.ids import JobRef, MachineId, Team
 from ..model.job_spec import Priority, Shape
 from ..state.allocations import Allocation, AttemptKey
-from ..state.cluster import ClusterState
 from ..state.jobs import Job
 from ..state.machine import Machine
+from .feasibility import CycleContext
 from .free_capacity import FreeCapacity, fails_repeatedly
 from .quota import tasks_within_limit
 
 INTERVAL_S = 0.5
-"""How often tasks are chosen to be stopped."""
+"""Seconds between two passes that choose tasks to stop."""
 
 MAX_STOPPED = 64
 """Tasks that are told to stop at a time."""
 
 MAX_MACHINES = 400
-"""Machines that are looked at for one job; beyond it a sample of them."""
+"""Machines that are considered for one job; of more, a sample."""
 
 COUNTED_START_S = 30.0
 """A start counts for its job's user only if the task is not stopped for so long."""
 
 
+RunningWork = tuple[Team, Priority, Collection[MachineId]]
+"""A team and priority of which there are allocations, and the machines that have them."""
+
+
 class Victim(NamedTuple):
     """A task that is to be stopped, and its machine."""
 
@@ -53,54 +57,63 @@
     victims: list[Allocation] = field(compare=False)
 
 
-class Preemption:
-    """One pass over what waits: whom to stop so that it can be placed."""
+def choose_victims(
+    context: CycleContext,
+    jobs: dict[JobRef, Job],
+    waiting: Iterable[Job],
+    machines: Iterable[Machine],
+    rng: Random,
+) -> list[Victim]:
+    """The tasks to stop, for the most urgent and oldest of the waiting jobs first.
+
+    `jobs` are all jobs; `machines` are those on which tasks may be placed.
+    """
+    running = list(context.cluster.running())
+    if not any(_ever_yields(team, priority, context.teams) for team, priority, _ in running):
+        return []
+    return _Preemption(context, jobs, machines, running, rng).choose(waiting)
+
+
+class _Preemption:
+    """One pass over the waiting jobs."""
 
     def __init__(
         self,
-        cluster: ClusterState,
-        teams: dict[Team, TeamLimits],
+        context: CycleContext,
         jobs: dict[JobRef, Job],
         machines: Iterable[Machine],
+        running: list[RunningWork],
         rng: Random,
-        now: Seconds,
     ) -> None:
-        """`machines` are those on which tasks may be placed."""
-        self._cluster = cluster
-        self._teams = teams
+        self._cluster = context.cluster
+        self._teams = context.teams
+        self._now = context.now
         self._jobs = jobs
-        self._usable = {machine.id: machine for machine in machines}
+        self._machines = {machine.id: machine for machine in machines}
+        self._running = running
         self._rng = rng
-        self._now = now
-        self._rooms: dict[MachineId, FreeCapacity] = {}
-        """Room that is left once all that was told to stop is gone."""
-        self._running = list(cluster.running())
-        self._cpus = dict(cluster.team_cpus)
+        self._candidates: dict[MachineId, FreeCapacity] = {}
+        """What is free once all that was told to stop has ended, less what this pass counts in."""
+        self._cpus = dict(context.cluster.team_cpus)
         self._chosen: list[Victim] = []
         self._stopped: set[tuple[MachineId, AttemptKey]] = set()
         """What this pass has chosen."""
 
     def choose(self, waiting: Iterable[Job]) -> list[Victim]:
-        """The tasks to stop, for the most urgent and oldest of the waiting jobs first."""
-        if not any(self._ever_yields(team, priority) for team, priority, _ in self._running):
-            return []
         found = [job for job in waiting if self._may_preempt(job)]
         for job in sorted(found, key=lambda job: (-job.spec.priority, job.submitted)):
             if len(self._chosen) >= MAX_STOPPED:
                 break
-            self._make_room(job)
+            self._choose_for(job)
         return self._chosen
 
     def _may_preempt(self, job: Job) -> bool:
-        """Gangs are left out: they need all their room at one time."""
+        """Gangs are left out: they need all their places at one time."""
         return job.waiting_count() > 0 and not job.gang and not fails_repeatedly(job)
 
-    def _ever_yields(self, team: Team, priority: Priority) -> bool:
-        return priority is Priority.LOW or not has_guarantee(team, self._teams)
-
     def _yields(self, team: Team, priority: Priority, job: Job) -> bool:
-        """Whether work of that team and priority makes room for the job."""
-        if priority < job.spec.priority and self._ever_yields(team, priority):
+        """Whether work of that team and priority is stopped for the job."""
+        if priority < job.spec.priority and _ever_yields(team, priority, self._teams):
             return True
         return (
             not has_guarantee(team, self._teams)
@@ -113,10 +126,10 @@
         used = self._cpus.get(job.spec.team, 0.0)
         return limits is not None and used + job.spec.cpus <= limits.cpus
 
-    def _make_room(self, job: Job) -> None:
+    def _choose_for(self, job: Job) -> None:
         wanted = self._within_limit(job)
-        candidates = self._rooms_with_yielding_work(job)
-        wanted -= self._count_freed_room(job, candidates, wanted)
+        candidates = self._candidates_with_yielding_work(job)
+        wanted -= self._count_in(job, candidates, wanted)
         if wanted <= 0:
             return
         options = [
@@ -128,7 +141,7 @@
         while options and wanted > 0 and len(self._chosen) < MAX_STOPPED:
             option = heapq.heappop(options)
             self._stop(option)
-            wanted -= self._count_freed_room(job, [option.candidate], wanted)
+            wanted -= self._count_in(job, [option.candidate], wanted)
             another = self._option(job, option.candidate)
             if another is not None:
                 heapq.heappush(options, another)
@@ -141,35 +154,37 @@
         used = self._cpus.get(job.spec.team, 0.0)
         return tasks_within_limit(job.spec, job.waiting_count(), used, limits.cpus_max)
 
-    def _rooms_with_yielding_work(self, job: Job) -> list[FreeCapacity]:
-        """Machines that the job may use and on which work runs that makes room for it."""
+    def _candidates_with_yielding_work(self, job: Job) -> list[FreeCapacity]:
+        """Machines that the job may use and on which work runs that yields to it."""
         found: dict[MachineId, None] = {}
         for team, priority, machines in self._running:
             if self._yields(team, priority, job):
                 found.update(dict.fromkeys(machines))
-        names = list(found)
-        if len(names) > MAX_MACHINES:
-            names = self._rng.sample(names, MAX_MACHINES)
-        return [candidate for name in names if (candidate := self._room(job, name)) is not None]
-
-    def _room(self, job: Job, name: MachineId) -> FreeCapacity | None:
-        machine = self._usable.get(name)
-        if machine is None or not machine.allowed(job.spec) or name in job.failed_on:
+        ids = list(found)
+        if len(ids) > MAX_MACHINES:
+            ids = self._rng.sample(ids, MAX_MACHINES)
+        candidates = (self._candidate(job, machine_id) for machine_id in ids)
+        return [candidate for candidate in candidates if candidate is not None]
+
+    def _candidate(self, job: Job, machine_id: MachineId) -> FreeCapacity | None:
+        """The machine's capacity, if the job may use the machine."""
+        machine = self._machines.get(machine_id)
+        if machine is None or not machine.allowed(job.spec) or machine_id in job.failed_on:
             return None
         if not machine.type.has_capacity_for(job.spec):
             return None
         if not self._cluster.zone_allows(job.spec, machine.zone):
             return None
-        candidate = self._rooms.get(name)
+        candidate = self._candidates.get(machine_id)
         if candidate is None:
-            candidate = self._rooms[name] = FreeCapacity.of(machine)
+            candidate = self._candidates[machine_id] = FreeCapacity.of(machine)
             for allocation in machine.allocations.values():
                 if allocation.stopping:
                     candidate.give_back(allocation.spec)
         return candidate
 
-    def _count_freed_room(self, job: Job, candidates: Iterable[FreeCapacity], wanted: int) -> int:
-        """How many of the job's tasks go into room that is free or being freed."""
+    def _count_in(self, job: Job, candidates: Iterable[FreeCapacity], wanted: int) -> int:
+        """Count in, and return, the job's tasks that fit what is free or being freed."""
         counted = 0
         for candidate in candidates:
             count = candidate.count_fitting(job.spec)
@@ -188,14 +203,14 @@
         freed = candidate.amounts()
         victims: list[Allocation] = []
         loss = 0.0
-        for hold_loss, allocation in sorted(
+        for allocation_loss, allocation in sorted(
             self._stoppable(job, candidate.machine), key=lambda found: found[0]
         ):
             if freed.fits(job.spec):
                 break
             freed.give_back(allocation.spec)
             victims.append(allocation)
-            loss += hold_loss
+            loss += allocation_loss
         return Option(loss, candidate, victims) if victims and freed.fits(job.spec) else None
 
     def _stoppable(self, job: Job, machine: Machine) -> Iterator[tuple[float, Allocation]]:
@@ -203,7 +218,7 @@
             if (
                 self._yields(allocation.spec.team, allocation.spec.priority, job)
                 and not allocation.stopping
-                and not _start_under_way(allocation)
+                and not _start_unconfirmed(allocation)
                 and (machine.id, allocation.key) not in self._stopped
                 and allocation.spec.shape is not Shape.GANG
                 and not self._only_counted_start(allocation)
@@ -211,18 +226,19 @@
                 yield self._loss(allocation), allocation
 
     def _only_counted_start(self, allocation: Allocation) -> bool:
-        """Whether its job would not have begun for its user if this task were stopped now."""
+        """Whether for its user the job would not have started if this task were stopped now."""
         ran_s = 0.0 if allocation.running_since is None else self._now - allocation.running_since
         job = self._jobs.get(allocation.task.job)
         return job is not None and ran_s <= COUNTED_START_S and job.placed_count() <= 1
 
     def _loss(self, allocation: Allocation) -> float:
-        """Processor time that is lost if the task is stopped now."""
+        """CPU seconds that are lost if the task is stopped now."""
         if allocation.running_since is None:
             return 0.0
         ran_s = self._now - allocation.running_since
-        saved = allocation.spec.checkpoint_s > 0
-        return allocation.spec.cpus * (min(ran_s, allocation.spec.save_s) if saved else ran_s)
+        if allocation.spec.checkpoint_s > 0:
+            ran_s = min(ran_s, allocation.spec.save_s)
+        return allocation.spec.cpus * ran_s
 
     def _stop(self, option: Option) -> None:
         for allocation in option.victims:
@@ -231,6 +247,14 @@
             self._chosen.append(Victim(option.candidate.machine, allocation))
 
 
-def _start_under_way(allocation: Allocation) -> bool:
-    """Whether its start was sent and is not seen yet: to be sure of its end takes a new token."""
+def _ever_yields(team: Team, priority: Priority, teams: dict[Team, TeamLimits]) -> bool:
+    """Whether work of that team and priority yields to any other."""
+    return priority is Priority.LOW or not has_guarantee(team, teams)
+
+
+def _start_unconfirmed(allocation: Allocation) -> bool:
+    """Whether its start was sent and no heartbeat lists it yet.
+
+    Only a new fencing token would prove that it does not start after all.
+    """
     return allocation.sent and not allocation.listed
--- a/src/crosscleat/core/scheduling/reservations.py
+++ b/src/crosscleat/core/scheduling/reservations.py
@@ -1,4 +1,4 @@
-"""Machines that are emptied for tasks which otherwise never find room.
+"""Machines that are emptied for tasks which otherwise never find a place.
 
 Small tasks take whatever is freed, so a task that needs much of a machine, or a gang that needs
 several places at once, would wait for as long as small ones come.
@@ -15,7 +15,7 @@
 from ..state.jobs import Job
 from ..state.machine import Machine
 from .feasibility import LARGE_SHARE
-from .free_capacity import FreeCapacity, Reservation, count_fitting
+from .free_capacity import FreeCapacity, Reservation, by_zone, count_fitting
 from .scoring import Scorer
 
 RESERVE_AFTER_S = 5.0
@@ -53,26 +53,25 @@
         able = [group for group in groups if _large_on(job, group.machine, scorer)]
         if job.gang:
             able = _able_to_hold_all(job, able)
-        most = max(1, int(RESERVED_SHARE * sum(len(group.candidates) for group in able)))
-        count = most - sum(group.reserved for group in able)
+        max_reserved = max(1, int(RESERVED_SHARE * sum(len(group.candidates) for group in able)))
+        count = max_reserved - sum(group.reserved for group in able)
         count = min(count, _machines_needed(job, able, scorer))
         if count > 0:
             _reserve(job, able, count)
 
 
 def reserve_on_demand(candidates: Iterable[FreeCapacity], cpus: float) -> None:
-    """Leave so much room on ordinary machines to work that may use no others.
+    """Keep so many CPUs of on-demand machines for work that may use no others.
 
-    In one zone, where most of it is free: a gang often has to be in one.
+    In the zone where most are free: a gang often has to be in one.
     """
     if cpus <= 0.0:
         return
-    by_zone: dict[Zone, list[FreeCapacity]] = {}
-    for candidate in candidates:
-        if not candidate.machine.spot and candidate.cpus > 0.0:
-            by_zone.setdefault(candidate.machine.zone, []).append(candidate)
+    on_demand = (
+        candidate for candidate in candidates if not candidate.machine.spot and candidate.cpus > 0.0
+    )
     best = max(
-        by_zone.values(), key=lambda found: sum(candidate.cpus for candidate in found), default=[]
+        by_zone(on_demand), key=lambda zone: sum(candidate.cpus for candidate in zone), default=[]
     )
     # Small machines first: large ones are left to large tasks.
     for candidate in sorted(
@@ -85,7 +84,7 @@
 
 
 def _groups(candidates: Iterable[FreeCapacity]) -> list[MachineGroup]:
-    """Machines of a kind are alike to a job: it looks at each kind once, not at each machine."""
+    """Machines of a group are alike to a job, which is compared with each group once."""
     groups: dict[tuple[TypeName, Zone, bool], MachineGroup] = {}
     for candidate in candidates:
         machine = candidate.machine
@@ -98,10 +97,10 @@
 
 
 def _smallest(groups: list[MachineGroup]) -> tuple[float, float]:
-    """The least CPUs and the least memory that any of the machines has."""
-    kinds = [group.machine.type for group in groups]
-    cpus = min((kind.cpus for kind in kinds), default=math.inf)
-    return cpus, min((kind.memory_gb for kind in kinds), default=math.inf)
+    """The smallest number of CPUs and the smallest memory that any of the machines has."""
+    types = [group.machine.type for group in groups]
+    cpus = min((machine_type.cpus for machine_type in types), default=math.inf)
+    return cpus, min((machine_type.memory_gb for machine_type in types), default=math.inf)
 
 
 def _may_be_large(job: Job, smallest: tuple[float, float]) -> bool:
@@ -124,23 +123,23 @@
 
 
 def _able_to_hold_all(job: Job, groups: list[MachineGroup]) -> list[MachineGroup]:
-    """Where the whole gang would fit if all were empty, in the zone with the most room if it must
-    be in one. Nothing is reserved for a gang that fits nowhere."""
+    """The groups where the whole gang would fit if all were empty.
+
+    If it must be in one zone, those of the zone with the most free CPUs. Nothing is reserved for a
+    gang that fits nowhere.
+    """
     if not job.spec.one_zone:
-        return groups if _most_tasks(job, groups) >= job.waiting_count() else []
-    by_zone: dict[Zone, list[MachineGroup]] = {}
-    for group in groups:
-        by_zone.setdefault(group.machine.zone, []).append(group)
-    enough = [zone for zone in by_zone.values() if _most_tasks(job, zone) >= job.waiting_count()]
+        return groups if _max_tasks(job, groups) >= job.waiting_count() else []
+    enough = [zone for zone in by_zone(groups) if _max_tasks(job, zone) >= job.waiting_count()]
     return max(enough, key=_free_cpus, default=[])
 
 
-def _most_tasks(job: Job, groups: list[MachineGroup]) -> int:
+def _max_tasks(job: Job, groups: list[MachineGroup]) -> int:
     """How many of the job's tasks the machines would hold if they were empty."""
-    kinds = ((group.machine.type, len(group.candidates)) for group in groups)
+    types = ((group.machine.type, len(group.candidates)) for group in groups)
     return sum(
-        count * count_fitting(job.spec, kind.cpus, kind.memory_gb, kind.gpus)
-        for kind, count in kinds
+        count * count_fitting(job.spec, machine.cpus, machine.memory_gb, machine.gpus)
+        for machine, count in types
     )
 
 
@@ -157,7 +156,7 @@
 
 
 def _reserve(job: Job, able: list[MachineGroup], count: int) -> None:
-    """The emptiest machines that no other job has reserved."""
+    """Reserve the emptiest machines that are not reserved for another job."""
     free = (
         (-candidate.cpus, -candidate.memory_gb, number, candidate, group)
         for number, (candidate, group) in enumerate(
--- a/src/crosscleat/core/scheduling/sharding.py
+++ b/src/crosscleat/core/scheduling/sharding.py
@@ -21,7 +21,8 @@
 from ..state.jobs import Job
 from ..state.machine import Machine
 from .cycle import MAX_ASSIGNMENTS, SchedulingCycle
-from .free_capacity import Assignment, Reservation, fails_repeatedly
+from .feasibility import CycleContext, CycleReserves
+from .free_capacity import Reservation, fails_repeatedly
 from .scoring import RunTimes, Scorer
 
 MAX_JOBS = 60
@@ -172,13 +173,7 @@
     }
     run_times = RunTimes()
     run_times.factors = dict(view.factors)
-    assignments: list[Assignment] = SchedulingCycle(
-        cluster,
-        Scorer(deployment, run_times),
-        teams,
-        rng,
-        now,
-        deployment.tuning.drop_threshold,
-        view.reserve,
-    ).plan(jobs, machines, MAX_ASSIGNMENTS, reservations)
+    context = CycleContext(cluster, teams, now, CycleReserves(urgent_cpus=view.reserve))
+    cycle = SchedulingCycle(context, Scorer(deployment, run_times), rng)
+    assignments = cycle.plan(jobs, machines, MAX_ASSIGNMENTS, reservations)
     return ShardProposal(view.number, tuple((c.job, c.machine) for c in assignments))
--- a/tests/planning.py
+++ b/tests/planning.py
@@ -7,6 +7,7 @@
 
 from crosscleat.core.model.ids import MachineId, Seconds, Version, Zone
 from crosscleat.core.scheduling.cycle import SchedulingCycle
+from crosscleat.core.scheduling.feasibility import CycleContext, CycleReserves
 from crosscleat.core.scheduling.free_capacity import Assignment
 from crosscleat.core.scheduling.scoring import RunTimes, Scorer
 from crosscleat.core.state.cluster import ClusterState
@@ -34,7 +35,6 @@
     backfill_reserve: float = 0.0,
 ) -> list[Assignment]:
     scorer = Scorer(deployment("c0"), RunTimes())
-    planned = SchedulingCycle(
-        ClusterState(), scorer, TEAMS, Random(1), NOW, 0.05, reserve, 0.0, backfill_reserve
-    )
-    return planned.plan(jobs, machines, most)
+    reserves = CycleReserves(urgent_cpus=reserve, backfill_cpus=backfill_reserve)
+    context = CycleContext(ClusterState(), TEAMS, NOW, reserves)
+    return SchedulingCycle(context, scorer, Random(1)).plan(jobs, machines, most)
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -10,6 +10,7 @@
 from crosscleat.core.model.ids import Image, JobRef, MachineId, Seconds, Team
 from crosscleat.core.model.job_spec import Priority, Shape
 from crosscleat.core.scheduling.cycle import SchedulingCycle
+from crosscleat.core.scheduling.feasibility import CycleContext, CycleReserves
 from crosscleat.core.scheduling.free_capacity import Reservation
 from crosscleat.core.scheduling.scoring import RunTimes, Scorer
 from crosscleat.core.state.cluster import ClusterState
@@ -91,9 +92,8 @@
 def with_ordinary_reserve(jobs: list[Job], fleet: list[Machine], cpus: float) -> set[str]:
     """The machines that a round takes, of which it leaves so many CPUs to ordinary work."""
     scorer = Scorer(deployment("c0"), RunTimes())
-    found = SchedulingCycle(ClusterState(), scorer, TEAMS, Random(1), NOW, 0.05, 0.0, cpus).plan(
-        jobs, fleet, 100
-    )
+    context = CycleContext(ClusterState(), TEAMS, NOW, CycleReserves(on_demand_cpus=cpus))
+    found = SchedulingCycle(context, scorer, Random(1)).plan(jobs, fleet, 100)
     return {choice.machine for choice in found}
 
 
@@ -127,7 +127,7 @@
     gang.submitted = Seconds(NOW - waited_s)
     held = Reservation(JobRef("job-l"), Priority.NORMAL, Seconds(NOW - 20.0), held_by_gang)
     scorer = Scorer(deployment("c0"), RunTimes())
-    one = SchedulingCycle(ClusterState(), scorer, TEAMS, Random(1), NOW, 0.05, 0.0)
+    one = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1))
     found = one.plan([gang], [machine("m-0")], 100, {MachineId("m-0"): held})
     assert len(found) == (4 if waited_s > 1.0 and not held_by_gang else 0)
 
--- a/tests/test_interruptions.py
+++ b/tests/test_interruptions.py
@@ -13,6 +13,7 @@
 from crosscleat.core.model.deployment import TuningOptions
 from crosscleat.core.model.ids import MachineId, Seconds, Team, Version, Zone
 from crosscleat.core.scheduling.cycle import SchedulingCycle
+from crosscleat.core.scheduling.feasibility import CycleContext
 from crosscleat.core.scheduling.scoring import RunTimes, Scorer
 from crosscleat.core.state.cluster import ClusterState
 from crosscleat.core.state.jobs import Job
@@ -74,7 +75,7 @@
         one = Job(job("job-1", tasks=1), Version(1), NOW)
         one.at_risk = at_risk
         scorer = Scorer(deployment("c0"), RunTimes())
-        planned = SchedulingCycle(ClusterState(), scorer, TEAMS, Random(1), NOW, 0.05, 0.0).plan(
+        planned = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1)).plan(
             [one], machines, 9
         )
         assert [choice.machine for choice in planned] == [expected]
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -18,7 +18,8 @@
     Version,
 )
 from crosscleat.core.model.job_spec import JobSpec, Priority
-from crosscleat.core.scheduling.preemption import COUNTED_START_S, Preemption, Victim
+from crosscleat.core.scheduling.feasibility import CycleContext
+from crosscleat.core.scheduling.preemption import COUNTED_START_S, Victim, choose_victims
 from crosscleat.core.state.allocations import Allocation
 from crosscleat.core.state.cluster import ClusterState
 from crosscleat.core.state.jobs import Job
@@ -55,8 +56,8 @@
         return allocations
 
     def preempt(self, *waiting_jobs: Job, teams: dict[Team, TeamLimits] = TEAMS) -> list[Victim]:
-        preemption = Preemption(self.cluster, teams, self.jobs, self.machines, Random(1), NOW)
-        return preemption.choose(waiting_jobs)
+        context = CycleContext(self.cluster, teams, NOW)
+        return choose_victims(context, self.jobs, waiting_jobs, self.machines, Random(1))
 
 
 def urgent(tasks: int = 1, cpus: float = 4.0, **changes: Any) -> Job:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -22,9 +22,11 @@
 from crosscleat.core.model.ids import JobRef, MachineId, Seconds, Team, Version, Zone
 from crosscleat.core.model.job_spec import Priority, Shape
 from crosscleat.core.model.worker_calls import DirectCommand
-from crosscleat.core.scheduling.cycle import MAX_JOBS, MIN_SAMPLE, SchedulingCycle
-from crosscleat.core.scheduling.feasibility import Feasibility
+from crosscleat.core.scheduling.cycle import SchedulingCycle
+from crosscleat.core.scheduling.feasibility import CycleContext, Feasibility
 from crosscleat.core.scheduling.free_capacity import FreeCapacity
+from crosscleat.core.scheduling.job_selection import MAX_RANKED_JOBS
+from crosscleat.core.scheduling.ranking import MIN_SAMPLE
 from crosscleat.core.scheduling.scoring import RunTimes, Scorer
 from crosscleat.core.state.allocations import Allocation
 from crosscleat.core.state.cluster import ClusterState
@@ -78,7 +80,7 @@
     allowed = counted(monkeypatch, Machine, "allowed")
     ranked = counted(monkeypatch, Feasibility, "admits")
     scorer = Scorer(deployment("c0"), RunTimes())
-    planned = SchedulingCycle(ClusterState(), scorer, TEAMS, Random(1), NOW, 0.05, 0.0).plan(
+    planned = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1)).plan(
         jobs, machines, 48
     )
     assert len(planned) >= 30, "a sample of full machines would find a third of them"
@@ -112,11 +114,11 @@
     machines = [Machine(MachineId(f"m-{n}"), TYPES[1], Zone("a"), True) for n in range(200)]
     ranked = counted(monkeypatch, Feasibility, "admits")
     scorer = Scorer(deployment("c0"), RunTimes())
-    planned = SchedulingCycle(ClusterState(), scorer, TEAMS, Random(1), NOW, 0.05, 0.0).plan(
+    planned = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1)).plan(
         jobs, machines, 48
     )
     assert len(planned) == 48
-    assert ranked[0] <= 1.2 * MAX_JOBS * MIN_SAMPLE
+    assert ranked[0] <= 1.2 * MAX_RANKED_JOBS * MIN_SAMPLE
 
 
 def test_scaling_out_prices_a_sample_of_a_thousand_jobs(
@@ -145,7 +147,7 @@
     machine = Machine(MachineId("m-0"), TYPES[1], Zone("a"), True)
     machine.used_cpus = 4.0
     scorer = Scorer(deployment("c0"), RunTimes())
-    planned = SchedulingCycle(ClusterState(), scorer, TEAMS, Random(1), NOW, 0.05, 0.0).plan(
+    planned = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1)).plan(
         large + small, [machine], 48
     )
     assert len(planned) == 4
