--- a/src/crosscleat/core/capacity/decommissioning.py
+++ b/src/crosscleat/core/capacity/decommissioning.py
@@ -1,4 +1,4 @@
-"""The decision to return a machine to the cloud; `Machines` deletes it once that is on record."""
+"""The decision to return a machine to the cloud; `deletions` deletes it once that is on record."""
 
 from __future__ import annotations
 
--- a/src/crosscleat/core/control/assembly.py
+++ b/src/crosscleat/core/control/assembly.py
@@ -11,8 +11,11 @@
 from random import Random
 
 from ..capacity.decommissioning import Decommissioner
+from ..capacity.deletions import Deletions
 from ..capacity.fleet import Fleet
 from ..capacity.interruptions import InterruptionStats
+from ..capacity.machine_list import MachineList
+from ..capacity.machine_watch import MachineWatch
 from ..capacity.machines import Machines
 from ..capacity.scaling import Autoscaler
 from ..election.election import Election
@@ -77,6 +80,9 @@
     decommissioner: Decommissioner
     liveness: Liveness
     machines: Machines
+    machine_list: MachineList
+    machine_watch: MachineWatch
+    deletions: Deletions
 
 
 @dataclass(frozen=True)
@@ -136,6 +142,9 @@
         decommissioner=machines.decommissioner,
         liveness=machines.liveness,
         machines=machines.machines,
+        machine_list=machines.machine_list,
+        machine_watch=machines.machine_watch,
+        deletions=machines.deletions,
         job_changes=jobs.job_changes,
         task_statuses=workers.task_statuses,
         heartbeat_processing=workers.heartbeat_processing,
@@ -169,18 +178,21 @@
     term = state.term
     decommissioner = Decommissioner(term, state.pending)
     liveness = Liveness(term.deployment, state.cluster, term.election, decommissioner, term.now)
-    machines = Machines(
+    machines = Machines(term, state.cluster, state.fleet.types)
+    machine_list = MachineList(
+        term, state.cluster, machines, liveness, decommissioner, state.pending
+    )
+    machine_watch = MachineWatch(term, attempts.attempts, liveness, decommissioner)
+    deletions = Deletions(
         term,
         state.cluster,
-        state.fleet,
-        state.interruptions,
+        machines,
         state.decommission_records,
         attempts.attempts,
         liveness,
-        decommissioner,
-        state.pending,
+        state.interruptions,
     )
-    return _MachineParts(decommissioner, liveness, machines)
+    return _MachineParts(decommissioner, liveness, machines, machine_list, machine_watch, deletions)
 
 
 def _worker_parts(state: _State, attempts: _AttemptParts, machines: _MachineParts) -> _WorkerParts:
--- a/src/crosscleat/core/control/heartbeat_receiver.py
+++ b/src/crosscleat/core/control/heartbeat_receiver.py
@@ -66,7 +66,7 @@
             self._term.election.resign(HIGHER_TOKEN_SEEN)
             return False
         # A heartbeat of a deleted machine is an old one that was held up by the network.
-        return heartbeat.machine not in self._machines.tombstones
+        return not self._machines.is_deleted(heartbeat.machine)
 
     def _refuse(self, request: int) -> None:
         self._term.outbox.add(Response(request, 503, retry_after_s=1))
--- a/src/crosscleat/core/control/leader.py
+++ b/src/crosscleat/core/control/leader.py
@@ -12,7 +12,10 @@
 from dataclasses import dataclass, field
 
 from ..capacity.decommissioning import Decommissioner
+from ..capacity.deletions import Deletions
 from ..capacity.fleet import Fleet
+from ..capacity.machine_list import MachineList
+from ..capacity.machine_watch import MachineWatch
 from ..capacity.machines import Machines
 from ..capacity.scaling import Autoscaler
 from ..election.term import LeadingTerm
@@ -64,6 +67,9 @@
     decommissioner: Decommissioner
     liveness: Liveness
     machines: Machines
+    machine_list: MachineList
+    machine_watch: MachineWatch
+    deletions: Deletions
     job_changes: JobChanges
     task_statuses: TaskStatuses
     heartbeat_processing: HeartbeatProcessing
@@ -112,14 +118,14 @@
         if now >= self._full_cycle_at:
             self._begin_full_cycle(now)
         self.autoscaler.adjust(now)
-        self.machines.list_if_due(now, self.liveness.doubtful)
-        self.machines.delete_recorded(now)
+        self.machine_list.read_if_due(now, self.liveness.doubtful)
+        self.deletions.delete_recorded(now)
 
     def _begin_full_cycle(self, now: Seconds) -> None:
         """Have all waiting work planned, by the shard owners as well."""
         self._full_cycle_at = Seconds(now + self.term.deployment.tuning.round_s)
         self.pending.cycle_wanted = True
-        self.writer.remove(self.machines.forget_old(now, self.writer.writing))
+        self.writer.remove(self.deletions.forget_old(now, self.writer.writing))
         self.scheduler.dispatch_shards(now)
 
     def watch_machines(self, now: Seconds) -> None:
@@ -135,7 +141,7 @@
                 and not machine.decommissioning
             ):
                 self.gangs.evacuate(machine, now)
-            self.machines.watch(machine, now)
+            self.machine_watch.watch(machine, now)
 
     def finish_step(self, now: Seconds) -> None:
         """At the end of every step: plan, write what changed and send what was written."""
--- a/tests/test_leader_without_workers.py
+++ b/tests/test_leader_without_workers.py
@@ -17,7 +17,7 @@
         ListedMachine(MachineId(f"m-{n}"), f"m-{n}", TYPES[1].name, Zone("a"), True, "running", 9)
         for n in range(5)
     ]
-    term.leader.machines.listed(listed)
+    term.leader.machine_list.receive(listed)
     term.leader.tick(term.now)
     greetings = [effect for effect in term.out.take() if isinstance(effect, DirectCommand)]
     assert len(greetings) == 5
@@ -118,7 +118,7 @@
         ListedMachine(MachineId(f"m-{n}"), f"m-{n}", TYPES[1].name, Zone("a"), True, "running", 9)
         for n in range(1000)
     ]
-    term.leader.machines.listed(listed)
+    term.leader.machine_list.receive(listed)
     assert not any(isinstance(effect, DirectCommand) for effect in term.out.take())
     greeted = []
     for _ in range(50):
--- a/tests/test_new_leader.py
+++ b/tests/test_new_leader.py
@@ -39,7 +39,7 @@
     # Incident inc-bc11: a leader was elected 4 s into a cut and returned eleven machines with
     # all their work 7 s later, as if they had never booted.
     term = Term()
-    term.leader.machines.listed(listed("running"))
+    term.leader.machine_list.receive(listed("running"))
     wait(term, 2.0 * LEASE_S)
     assert returned(term) == set()
     wait(term, 2.0 * CANCEL_S)
@@ -48,6 +48,6 @@
 
 def test_machines_that_the_cloud_lists_as_starting_for_too_long_are_returned() -> None:
     term = Term()
-    term.leader.machines.listed(listed("starting"))
+    term.leader.machine_list.receive(listed("starting"))
     wait(term, 1.5 * LEASE_S)
     assert returned(term) == {f"m-{number}" for number in UNHEARD}
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -11,6 +11,7 @@
 
 from crosscleat.core.capacity.capacity_targets import CpuUse
 from crosscleat.core.capacity.fleet import MAX_PRICED, Fleet
+from crosscleat.core.capacity.machine_watch import MachineWatch
 from crosscleat.core.capacity.machines import Machines
 from crosscleat.core.capacity.pool_catalog import PoolCatalog
 from crosscleat.core.capacity.pools import MAX_PER_RENTAL
@@ -182,7 +183,7 @@
     # A tick of 4,000 machines took a tenth of what it may take at 43% of a core, ten times a
     # second, and a round twice that, up to seven times a second.
     term = large(machines)
-    watched = counted(monkeypatch, Machines, "watch")
+    watched = counted(monkeypatch, MachineWatch, "watch")
     rooms = counted(monkeypatch, Machines, "usable")
     for _ in range(60):
         term.step(0.1)
