--- a/src/crosscleat/core/control/assembly.py
+++ b/src/crosscleat/core/control/assembly.py
@@ -31,6 +31,7 @@
 from ..state.placement_records import PlacementRecords
 from .attempts import Attempts
 from .commands import Commands
+from .cycle_factory import CycleFactory
 from .evacuation import Evacuation
 from .gang_control import GangControl
 from .heartbeat_processing import HeartbeatProcessing
@@ -39,6 +40,7 @@
 from .leader import Leader
 from .liveness import Liveness
 from .pending_work import PendingWork
+from .placer import Placer
 from .progress import Progress
 from .retries import Retries
 from .scheduler import Scheduler
@@ -68,15 +70,9 @@
         self.pending = PendingWork()
 
 
-@dataclass(frozen=True)
-class _AttemptParts:
-    attempts: Attempts
-    gangs: GangControl
-    evacuation: Evacuation
-
-
 @dataclass(frozen=True)
 class _MachineParts:
+    attempts: Attempts
     decommissioner: Decommissioner
     liveness: Liveness
     machines: Machines
@@ -85,6 +81,15 @@
     deletions: Deletions
 
 
+@dataclass(frozen=True)
+class _PlanningParts:
+    placer: Placer
+    gangs: GangControl
+    evacuation: Evacuation
+    scheduler: Scheduler
+    autoscaler: Autoscaler
+
+
 @dataclass(frozen=True)
 class _WorkerParts:
     task_statuses: TaskStatuses
@@ -101,12 +106,6 @@
     writer: Writer
 
 
-@dataclass(frozen=True)
-class _PlanningParts:
-    scheduler: Scheduler
-    autoscaler: Autoscaler
-
-
 def build_leader(
     deployment: Deployment,
     election: Election,
@@ -123,11 +122,10 @@
     cut to fit a value of the store, as no controller of an older version reads them.
     """
     state = _State(LeadingTerm(deployment, election, outbox, now), types, cut_chunks)
-    attempts = _attempt_parts(state)
-    machines = _machine_parts(state, attempts)
-    workers = _worker_parts(state, attempts, machines)
-    jobs = _job_parts(state, attempts, wall)
-    planning = _planning_parts(state, attempts, machines, rng)
+    machines = _machine_parts(state)
+    planning = _planning_parts(state, machines, rng)
+    workers = _worker_parts(state, machines, planning.evacuation)
+    jobs = _job_parts(state, machines.attempts, wall)
     return Leader(
         term=state.term,
         jobs=state.jobs,
@@ -137,8 +135,8 @@
         run_times=state.run_times,
         fleet=state.fleet,
         pending=state.pending,
-        attempts=attempts.attempts,
-        gangs=attempts.gangs,
+        attempts=machines.attempts,
+        gangs=planning.gangs,
         decommissioner=machines.decommissioner,
         liveness=machines.liveness,
         machines=machines.machines,
@@ -152,70 +150,97 @@
         commands=workers.commands,
         write_outcomes=jobs.write_outcomes,
         writer=jobs.writer,
+        placer=planning.placer,
         scheduler=planning.scheduler,
         autoscaler=planning.autoscaler,
         progress=jobs.progress,
     )
 
 
-def _attempt_parts(state: _State) -> _AttemptParts:
+def _machine_parts(state: _State) -> _MachineParts:
+    term = state.term
     attempts = Attempts(
-        state.term,
+        term,
         state.jobs,
         state.cluster,
         state.placement_records,
-        Retries(state.term, state.jobs),
+        Retries(term, state.jobs),
         state.pending,
     )
-    gangs = GangControl(
-        state.term, state.jobs, state.cluster, state.scorer, attempts, state.pending
-    )
-    evacuation = Evacuation(state.term, state.run_times, state.interruptions, gangs, attempts)
-    return _AttemptParts(attempts, gangs, evacuation)
-
-
-def _machine_parts(state: _State, attempts: _AttemptParts) -> _MachineParts:
-    term = state.term
     decommissioner = Decommissioner(term, state.pending)
     liveness = Liveness(term.deployment, state.cluster, term.election, decommissioner, term.now)
     machines = Machines(term, state.cluster, state.fleet.types)
     machine_list = MachineList(
         term, state.cluster, machines, liveness, decommissioner, state.pending
     )
-    machine_watch = MachineWatch(term, attempts.attempts, liveness, decommissioner)
+    machine_watch = MachineWatch(term, attempts, liveness, decommissioner)
     deletions = Deletions(
         term,
         state.cluster,
         machines,
         state.decommission_records,
-        attempts.attempts,
+        attempts,
         liveness,
         state.interruptions,
     )
-    return _MachineParts(decommissioner, liveness, machines, machine_list, machine_watch, deletions)
+    return _MachineParts(
+        attempts, decommissioner, liveness, machines, machine_list, machine_watch, deletions
+    )
+
+
+def _planning_parts(state: _State, parts: _MachineParts, rng: Random) -> _PlanningParts:
+    term, jobs, cluster, attempts = state.term, state.jobs, state.cluster, parts.attempts
+    cycles = CycleFactory(term, jobs, cluster, state.fleet, state.scorer, parts.machines, rng)
+    placer = Placer(term, cluster, parts.machines, state.placement_records, attempts, state.pending)
+    gangs = GangControl(term, jobs, cluster, state.scorer, cycles, placer, attempts, state.pending)
+    evacuation = Evacuation(term, state.run_times, state.interruptions, gangs, attempts)
+    scheduler = Scheduler(
+        term,
+        jobs,
+        cluster,
+        state.run_times,
+        cycles,
+        placer,
+        gangs,
+        attempts,
+        state.pending,
+        rng,
+    )
+    autoscaler = Autoscaler(
+        term,
+        jobs,
+        cluster,
+        state.fleet,
+        state.scorer,
+        state.interruptions,
+        parts.machines,
+        parts.decommissioner,
+        evacuation,
+    )
+    return _PlanningParts(placer, gangs, evacuation, scheduler, autoscaler)
 
 
-def _worker_parts(state: _State, attempts: _AttemptParts, machines: _MachineParts) -> _WorkerParts:
-    task_statuses = TaskStatuses(state.term, state.jobs, state.run_times, attempts.attempts)
+def _worker_parts(state: _State, parts: _MachineParts, evacuation: Evacuation) -> _WorkerParts:
+    task_statuses = TaskStatuses(state.term, state.jobs, state.run_times, parts.attempts)
     processing = HeartbeatProcessing(
         state.term,
         state.cluster,
-        machines.machines,
-        machines.liveness,
-        machines.decommissioner,
+        parts.machines,
+        parts.liveness,
+        parts.decommissioner,
         task_statuses,
-        attempts.attempts,
-        attempts.evacuation,
+        parts.attempts,
+        evacuation,
         state.pending,
     )
     commands = Commands(state.term, state.jobs, state.cluster, state.pending, processing)
     receiver = HeartbeatReceiver(
-        state.term, machines.machines, machines.liveness, processing, commands, state.pending
+        state.term, parts.machines, parts.liveness, processing, commands, state.pending
     )
     return _WorkerParts(task_statuses, processing, receiver, commands)
 
 
-def _job_parts(state: _State, attempts: _AttemptParts, wall: WallTime) -> _JobParts:
+def _job_parts(state: _State, attempts: Attempts, wall: WallTime) -> _JobParts:
     job_changes = JobChanges(
         state.term,
         state.jobs,
@@ -224,7 +249,7 @@
         state.fleet,
         state.scorer,
         state.interruptions,
-        attempts.attempts,
+        attempts,
         state.pending,
         wall,
     )
@@ -233,7 +258,7 @@
         state.term,
         state.jobs,
         state.cluster,
-        attempts.attempts,
+        attempts,
         job_changes,
         progress,
         state.pending,
@@ -248,34 +273,3 @@
         write_outcomes,
     )
     return _JobParts(job_changes, progress, write_outcomes, writer)
-
-
-def _planning_parts(
-    state: _State, attempts: _AttemptParts, machines: _MachineParts, rng: Random
-) -> _PlanningParts:
-    scheduler = Scheduler(
-        state.term,
-        state.jobs,
-        state.cluster,
-        state.fleet,
-        state.scorer,
-        state.run_times,
-        machines.machines,
-        attempts.gangs,
-        state.placement_records,
-        state.pending,
-        attempts.attempts,
-        rng,
-    )
-    autoscaler = Autoscaler(
-        state.term,
-        state.jobs,
-        state.cluster,
-        state.fleet,
-        state.scorer,
-        state.interruptions,
-        machines.machines,
-        machines.decommissioner,
-        attempts.evacuation,
-    )
-    return _PlanningParts(scheduler, autoscaler)
--- a/src/crosscleat/core/control/gang_control.py
+++ b/src/crosscleat/core/control/gang_control.py
@@ -2,11 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Protocol
-
 from ..election.term import LeadingTerm
 from ..model.ids import JobRef, Seconds
-from ..scheduling.free_capacity import Assignment
 from ..scheduling.scoring import Scorer
 from ..state.allocations import Allocation
 from ..state.cluster import ClusterState
@@ -14,17 +11,9 @@
 from ..state.jobs import Job
 from ..state.machine import Machine
 from .attempts import Attempts
+from .cycle_factory import CycleFactory
 from .pending_work import PendingWork
-
-
-class GangPlacer(Protocol):
-    """Finds and commits places for missing gang members (`control.scheduler.Scheduler`)."""
-
-    def places_to_complete(self, job: Job, left_s: float) -> list[Assignment]:
-        """Places for the tasks that the gang lacks, startable within `left_s` seconds."""
-
-    def place(self, job: Job, machine: Machine) -> None:
-        """Place one task of the job on the machine, if that is still possible."""
+from .placer import Placer
 
 
 class GangControl:
@@ -36,6 +25,8 @@
         jobs: dict[JobRef, Job],
         cluster: ClusterState,
         scorer: Scorer,
+        cycles: CycleFactory,
+        placer: Placer,
         attempts: Attempts,
         pending: PendingWork,
     ) -> None:
@@ -43,6 +34,8 @@
         self._jobs = jobs
         self._cluster = cluster
         self._scorer = scorer
+        self._cycles = cycles
+        self._placer = placer
         self._attempts = attempts
         self._pending = pending
 
@@ -58,7 +51,7 @@
             # Its members may still wait: decided once all its machines have sent a heartbeat.
             self._pending.incomplete_gangs[job.ref] = job
 
-    def complete(self, now: Seconds, placer: GangPlacer) -> None:
+    def complete(self, now: Seconds) -> None:
         """Replace lost members of gangs that still wait, under the number of their attempt."""
         incomplete = self._pending.incomplete_gangs
         for job in list(incomplete.values()):
@@ -69,11 +62,11 @@
             if phase is Phase.UNHEARD or job.needs_reread:
                 continue
             incomplete.pop(job.ref, None)
-            if phase is not Phase.WAITING or not self._complete(job, now, placer):
+            if phase is not Phase.WAITING or not self._complete(job, now):
                 # There is no time to save: progress is lost, or saved already.
                 self._attempts.stop_gang(job, 0.0)
 
-    def _complete(self, job: Job, now: Seconds, placer: GangPlacer) -> bool:
+    def _complete(self, job: Job, now: Seconds) -> bool:
         """Place the missing members where they can start while the others still wait."""
         missing = job.spec.tasks - job.placed_count()
         if missing != job.waiting_count():
@@ -81,8 +74,13 @@
         since = job.progress.waiting_since
         waited_s = 0.0 if since is None else now - since
         left_s = self._term.deployment.gang_wait_s - waited_s
-        for assignment in placer.places_to_complete(job, left_s):
-            placer.place(job, self._cluster.machines[assignment.machine])
+        machines = [
+            machine
+            for machine in self._cycles.usable_machines(now)
+            if machine.id not in job.progress.lost_on
+        ]
+        for assignment in self._cycles.new_cycle(now).complete_gang(job, machines, left_s):
+            self._placer.place(job, self._cluster.machines[assignment.machine])
         if job.placed_count() < job.spec.tasks:
             return False
         log = f"job {job.ref}: {missing} lost tasks of a waiting gang replaced"
--- a/src/crosscleat/core/control/leader.py
+++ b/src/crosscleat/core/control/leader.py
@@ -35,6 +35,7 @@
 from .job_changes import JobChanges
 from .liveness import Liveness
 from .pending_work import PendingWork
+from .placer import Placer
 from .progress import Progress
 from .scheduler import Scheduler
 from .task_statuses import TaskStatuses
@@ -77,6 +78,7 @@
     commands: Commands
     write_outcomes: WriteOutcomes
     writer: Writer
+    placer: Placer
     scheduler: Scheduler
     autoscaler: Autoscaler
     progress: Progress
--- /dev/null
+++ b/src/crosscleat/core/control/placer.py
@@ -0,0 +1,87 @@
+"""How an assignment becomes an allocation: only if everything that may run now still admits it."""
+
+from __future__ import annotations
+
+from ..capacity.machines import Machines
+from ..election.term import LeadingTerm
+from ..model.ids import Seconds
+from ..scheduling.free_capacity import fetch_time
+from ..scheduling.quota import within_limit
+from ..state.allocations import Allocation
+from ..state.cluster import ClusterState
+from ..state.jobs import Job
+from ..state.machine import Machine
+from ..state.placement_records import PlacementRecords
+from .attempts import Attempts
+from .pending_work import PendingWork
+
+
+class Placer:
+    """Commits assignments, whoever planned them: the leader or a shard owner."""
+
+    def __init__(
+        self,
+        term: LeadingTerm,
+        cluster: ClusterState,
+        machines: Machines,
+        placement_records: PlacementRecords,
+        attempts: Attempts,
+        pending: PendingWork,
+    ) -> None:
+        self._term = term
+        self._cluster = cluster
+        self._machines = machines
+        self._placement_records = placement_records
+        self._attempts = attempts
+        self._pending = pending
+
+    def place(self, job: Job, machine: Machine) -> None:
+        """Place the job's next waiting task on the machine, if that is still possible."""
+        now = self._term.now
+        if not self._admits(job, machine, now):
+            return
+        spec = job.spec
+        task, attempt = job.place(machine.id, machine.heartbeat_id.agent_epoch)
+        self._placement_records.of(job, job.chunk_of(task.number)).want(spec.priority, now)
+        self._pending.write_soon()
+        allocation = Allocation(
+            task,
+            attempt,
+            spec,
+            machine.id,
+            machine.zone,
+            machine.heartbeat_id.agent_epoch,
+            placed_at=now,
+        )
+        self._cluster.add(machine, allocation)
+        # Images are taken to be fetched one after the other.
+        last_ready = max(machine.images.values(), default=now)
+        ready = Seconds(max(now, last_ready) + fetch_time(spec, machine.type))
+        machine.use_image(spec.image, spec.image_gb, ready)
+
+    def place_gang(self, job: Job, machines: list[Machine]) -> None:
+        """Place all tasks of a gang, or none."""
+        if job.placed_count() or len(machines) != job.spec.tasks:
+            return
+        for machine in machines:
+            self.place(job, machine)
+        if job.placed_count() < job.spec.tasks:
+            # Nothing of it was sent or written: it is as if it had not been placed.
+            for machine, allocation in list(self._cluster.allocations_of(job)):
+                self._attempts.ended(machine, allocation)
+
+    def _admits(self, job: Job, machine: Machine, now: Seconds) -> bool:
+        """Whether a task waits, and the machine, the zone and the team's quota admit it."""
+        spec = job.spec
+        limits = self._term.deployment.teams.get(spec.team)
+        cpus, gpus = self._cluster.team_cpus, self._cluster.team_gpus
+        return (
+            limits is not None
+            and job.peek() is not None
+            and self._machines.usable(machine, now)
+            and machine.fits(spec)
+            and machine.allowed(spec)
+            and self._cluster.zone_allows(spec, machine.zone)
+            and within_limit(cpus.get(spec.team, 0.0) + spec.cpus, limits.cpus_max)
+            and within_limit(gpus.get(spec.team, 0.0) + spec.gpus, limits.gpus_max)
+        )
--- a/tests/gangs.py
+++ b/tests/gangs.py
@@ -104,7 +104,7 @@
     term.hear((1, 1), machine="m-1")
     gang = term.leader.jobs[JobRef("job-g")]
     machines = [term.leader.cluster.machines[MachineId(f"m-{n}")] for n in range(2)]
-    term.leader.scheduler.place_gang(gang, [machines[0], *[machines[1]] * (tasks - 1)], term.now)
+    term.leader.placer.place_gang(gang, [machines[0], *[machines[1]] * (tasks - 1)])
     for one in machines:
         for allocation in one.allocations.values():
             allocation.recorded = allocation.sent = True
--- a/tests/test_gang_attempts.py
+++ b/tests/test_gang_attempts.py
@@ -43,7 +43,7 @@
     term = gang_term()
     gang = term.leader.jobs[JobRef("job-g")]
     one = next(iter(term.leader.cluster.machines.values()))
-    term.leader.scheduler.place_gang(gang, [one, one], term.now)
+    term.leader.placer.place_gang(gang, [one, one])
     allocations = list(one.allocations.values())
     assert len(allocations) == 2
     allocations[0].recorded = True
@@ -59,7 +59,7 @@
     gang = term.leader.jobs[JobRef("job-g")]
     one = next(iter(term.leader.cluster.machines.values()))
     other = machine("m-9")
-    term.leader.scheduler.place_gang(gang, [one, one, other], term.now)
+    term.leader.placer.place_gang(gang, [one, one, other])
     assert gang.placed_count() == 0 and not one.allocations, (
         "the third machine is not known to be up"
     )
@@ -70,7 +70,7 @@
     term = gang_term()
     gang = term.leader.jobs[JobRef("job-g")]
     one = next(iter(term.leader.cluster.machines.values()))
-    term.leader.scheduler.place_gang(gang, [one, one], term.now)
+    term.leader.placer.place_gang(gang, [one, one])
     for allocation in one.allocations.values():
         allocation.recorded = allocation.sent = allocation.listed = True
     term.leader.attempts.stop_gang(gang, 5.0)
@@ -83,7 +83,7 @@
     term = gang_term()
     gang = term.leader.jobs[JobRef("job-g")]
     one = next(iter(term.leader.cluster.machines.values()))
-    term.leader.scheduler.place_gang(gang, [one, one], term.now)
+    term.leader.placer.place_gang(gang, [one, one])
     on_record(gang, one)
     term.out.take()
     term.leader.pending.send_soon(one.id)
