--- a/tests/gangs.py
+++ b/tests/gangs.py
@@ -55,7 +55,7 @@
 
 
 def done(world: World) -> set[str]:
-    return {ref for ref, status in world.told_final.items() if status == "done"}
+    return {ref for ref, status in world.final_statuses.items() if status == "done"}
 
 
 def gang_term(tasks: int = 2) -> Term:
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -9,7 +9,7 @@
 from crosscleat.core.model.ids import Team, Zone
 from crosscleat.core.model.job_spec import Priority
 
-from .world import CANCEL_S, LEASE_S, MEMBERS, REGION, REPORT_S, World, job, leader_of, running
+from .world import CANCEL_S, HEARTBEAT_S, LEASE_S, MEMBERS, REGION, World, job, leader_of, running
 
 seeds = pytest.mark.parametrize("seed", range(3))
 
@@ -33,7 +33,7 @@
 
 
 def busy(world: World) -> list[str]:
-    return [name for name, w in world.workers.items() if w.tasks and not w.gone]
+    return [name for name, w in world.workers.items() if w.tasks and not w.dead]
 
 
 @seeds
@@ -59,7 +59,7 @@
             world.network.cut(name, member, "hold")
     world.clock.advance(3.0)
     world.end_leader(0.2)
-    world.copies = 0.6
+    world.duplicates = 0.6
     # It gives up what it does not hear, and places that elsewhere, before the old reports come.
     world.clock.advance(2.0 * LEASE_S)
     world.network.heal()
@@ -80,7 +80,7 @@
     world.clock.advance(4.0)
     if alone:
         for member in world.leading():
-            world.store.refuses[member] = world.clock.now + 20.0
+            world.store.refused_until[member] = world.clock.now + 20.0
         world.clock.advance(1.0)
         world.users.cancel("job-2")
         world.clock.advance(1.0)
@@ -116,7 +116,7 @@
     world = world_of(seed, estimate_s=90.0)
     world.cloud_down = True
     for member in world.leading():
-        world.store.refuses[member] = world.clock.now + 14.0
+        world.store.refused_until[member] = world.clock.now + 14.0
     world.clock.advance(after_s)
     for number in range(4):
         world.users.cancel(f"job-{number}")
@@ -150,7 +150,7 @@
 @pytest.mark.parametrize("outage_s", [0.0, 40.0])
 def test_leaders_change_ten_times_in_two_minutes(seed: int, outage_s: float) -> None:
     world = world_of(seed, estimate_s=20.0)
-    world.copies = 0.2
+    world.duplicates = 0.2
     for number in range(10):
         if number == 3 and outage_s:
             world.store.outage(outage_s)
@@ -165,13 +165,13 @@
 @pytest.mark.parametrize("crash", [False, True])
 def test_workers_that_reach_no_controller_are_reached_directly(seed: int, crash: bool) -> None:
     world = world_of(seed, estimate_s=30.0)
-    world.mute.update(world.workers if seed % 2 else busy(world))
+    world.silenced.update(world.workers if seed % 2 else busy(world))
     world.clock.advance(3.0)
     world.users.cancel("job-0")
     if crash:
         world.end_leader(0.3)
     world.clock.advance(2.0 * LEASE_S)
-    world.mute.clear()
+    world.silenced.clear()
     world.finish()
 
 
@@ -275,7 +275,7 @@
     for number in range(4):
         world.users.cancel(f"job-{number}")
     world.clock.advance(CANCEL_S + 8.0)
-    assert set(world.cancel_told) == {f"job-{number}" for number in range(4)}
+    assert set(world.cancel_confirmed_at) == {f"job-{number}" for number in range(4)}
     world.finish()
 
 
@@ -297,7 +297,7 @@
         )
     world.clock.advance(12.0)
     for name in busy(world)[::2]:
-        world.workers[name].gone = True
+        world.workers[name].dead = True
         world.workers[name].tasks.clear()
     for name in busy(world)[1::2]:
         world.workers[name].hang(LEASE_S - 2.0)
@@ -322,7 +322,7 @@
 @seeds
 def test_old_heartbeats_after_newer_ones_of_earlier_agent_epochs_and_attempts(seed: int) -> None:
     world = world_of(seed, estimate_s=10.0)
-    world.copies = 0.7
+    world.duplicates = 0.7
     for number in range(6):
         for name in busy(world)[number % 2 :: 3]:
             if number % 2:
@@ -351,11 +351,11 @@
             if trouble == "unreached":
                 world.network.cut(name, member, "hold")
             else:
-                world.network.unheard.add((member, name))
+                world.network.one_way_cuts.add((member, name))
     world.end_leader(5.0)
-    world.clock.advance(LEASE_S + 2.0 * REPORT_S)
+    world.clock.advance(LEASE_S + 2.0 * HEARTBEAT_S)
     world.network.heal()
-    world.clock.advance(REPORT_S)
+    world.clock.advance(HEARTBEAT_S)
     for number in range(2):
         world.users.cancel(f"job-{number}")
     world.finish()
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -28,7 +28,7 @@
     world = with_gangs(seed, estimate_s=20.0, count=1)
     assert running(world, "job-0") == 3
     host = next(w for w in world.workers.values() if w.tasks)
-    host.gone = True
+    host.dead = True
     host.tasks.clear()
     world.clock.advance(LEASE_S + 20.0)
     world.finish()
@@ -81,9 +81,9 @@
             job(f"job-{number}", tasks=3, estimate_s=5.0, team=Team("blue"), shape=Shape.GANG)
         )
         world.clock.advance(1.0)
-        hosts = [w for w in world.workers.values() if w.tasks and not w.gone]
+        hosts = [w for w in world.workers.values() if w.tasks and not w.dead]
         if hosts and number % 2:
-            hosts[0].gone = True
+            hosts[0].dead = True
             hosts[0].tasks.clear()
         world.clock.advance(4.0)
     world.clock.advance(45.0)
@@ -98,7 +98,7 @@
             world.network.cut(name, member, "hold")
     world.users.cancel("job-0")
     world.clock.advance(CANCEL_S + 1.0)
-    assert world.cancel_told and running(world, "job-0") == 0
+    assert world.cancel_confirmed_at and running(world, "job-0") == 0
 
 
 def test_gangs_that_fit_only_one_at_a_time_all_run_in_the_end() -> None:
--- a/tests/test_isolated.py
+++ b/tests/test_isolated.py
@@ -17,7 +17,7 @@
 def isolate(world: World, leader: str) -> list[str]:
     """Leave the leader with its workers alone, and the workers with it alone."""
     world.network.cut(leader, REGION, "hold")
-    workers = [name for name, worker in world.workers.items() if not worker.gone]
+    workers = [name for name, worker in world.workers.items() if not worker.dead]
     for other in MEMBERS:
         if other != leader:
             world.network.cut(leader, other, "hold")
@@ -41,7 +41,7 @@
     busy.clock.advance(6.0)
     busy.users.cancel("job-long")
     busy.clock.advance(CANCEL_S + 5.0)
-    assert busy.told_final["job-long"] == "aborted"
+    assert busy.final_statuses["job-long"] == "aborted"
     assert running(busy, "job-long") == 0
 
 
@@ -52,10 +52,10 @@
     for other in MEMBERS:
         if other != old:
             busy.network.cut(old, other, "hold")
-    before = {name for name, worker in busy.workers.items() if worker.gone}
+    before = {name for name, worker in busy.workers.items() if worker.dead}
     busy.clock.advance(12.0)
     assert leader_of(busy) != old
-    assert {name for name, worker in busy.workers.items() if worker.gone} == before
+    assert {name for name, worker in busy.workers.items() if worker.dead} == before
     assert running(busy, "job-long") == 3
 
 
@@ -72,7 +72,7 @@
     isolate(busy, old)
     # Room elsewhere, so that only the proof is missing for a second start.
     for zone in ("a", "b"):
-        busy.clouds.add_machine("large", zone, False)
+        busy.cloud.add_machine("large", zone, False)
     busy.clock.advance(CANCEL_S - LEASE_S)
     assert leader_of_others(busy, old)
     assert busy.started == 3
@@ -115,7 +115,7 @@
         if member != former:
             if cut:
                 busy.network.cut(former, member, "reset")
-            busy.notice(member, former)
+            busy.report_unreachable(member, former)
     busy.clock.advance(6.0)
     assert token_of(busy, leader_of(busy)) > term, "another term has begun"
     assert busy.started == started and running(busy, "job-long") == 3, "what ran goes on"
--- a/tests/test_outage_after_partition.py
+++ b/tests/test_outage_after_partition.py
@@ -12,10 +12,10 @@
 
 from crosscleat.core.model.ids import Team
 
-from .world import CANCEL_S, LEASE_S, MEMBERS, REPORT_S, World, at_work, job, leader_of, running
+from .world import CANCEL_S, HEARTBEAT_S, LEASE_S, MEMBERS, World, at_work, job, leader_of, running
 
 RENEW_S = CANCEL_S - LEASE_S
-BOUNDS = (RENEW_S, CANCEL_S - REPORT_S, CANCEL_S, RENEW_S + CANCEL_S)
+BOUNDS = (RENEW_S, CANCEL_S - HEARTBEAT_S, CANCEL_S, RENEW_S + CANCEL_S)
 EDGE_S = st.sampled_from((-2.0, -0.6, 0.0, 0.6, 2.0))
 
 
@@ -27,7 +27,7 @@
 
 def gap(world: World, until_out_s: float, out_s: float, refs: list[str]) -> str:
     leader = leader_of(world)
-    world.store.refuses[leader] = world.clock.now + 14.0
+    world.store.refused_until[leader] = world.clock.now + 14.0
     world.clock.advance(0.2)
     for ref in refs:
         cancel_through_others(world, leader, ref)
@@ -80,7 +80,7 @@
         world.clock.advance(1.0)
         ends = leader if crash == "leader" else next(m for m in MEMBERS if m != leader)
         world.crash(ends, 0.2)
-    told = world.cancel_told.get("job-long")
+    told = world.cancel_confirmed_at.get("job-long")
     world.clock.advance(bound + edge_s + 2.0)
     if again:
         # After a crash in an outage nobody may have been elected yet.
@@ -97,7 +97,7 @@
     world.cloud_down = True
     gap(world, until_out_s, CANCEL_S, [])
     # The last contact was up to a watch's time before, and a report may just have been answered.
-    world.clock.advance(CANCEL_S - until_out_s - 1.5 - REPORT_S * 1.25 - 2.0)
+    world.clock.advance(CANCEL_S - until_out_s - 1.5 - HEARTBEAT_S * 1.25 - 2.0)
     assert running(world, "job-long") == 3
 
 
@@ -113,11 +113,11 @@
     world = at_work(estimate_s=200.0, for_s=20.0)
     world.cloud_down = True
     leader = gap(world, 1.0, 12.0, ["job-long"])
-    world.store.refuses.clear()
+    world.store.refused_until.clear()
     # Its watches wait on; its renewals are answered.
     world.slow_watches.add(leader)
     world.clock.advance(CANCEL_S + 8.0)
-    assert world.cancel_told
+    assert world.cancel_confirmed_at
     assert running(world, "job-long") == 0
 
 
@@ -138,7 +138,7 @@
     cancel_through_others(world, electing, "job-long")
     while process.controller.leader is None:
         world.clock.advance(0.01)
-    assert "job-long" in world.cancel_told
+    assert "job-long" in world.cancel_confirmed_at
     assert running(world, "job-long") > 0
     world.store.outage(2.0 * CANCEL_S)
     world.clock.advance(CANCEL_S + 5.0)
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -41,7 +41,7 @@
 def test_controllers_change_one_after_the_other_amid_troubles(seed: int, trouble: str) -> None:
     world = busy_world(seed)
     if trouble == "late":
-        world.late_writes = world.copies = 0.3
+        world.late_writes = world.duplicates = 0.3
     for number, member in enumerate(MEMBERS):
         if trouble == "crashes":
             # Who ends before its turn comes back as the version before.
@@ -70,7 +70,7 @@
     )
     world.clock.advance(20.0)
     world.finish()
-    assert world.told_final["job-g"] == "done" and world.told_final["job-more"] == "done"
+    assert world.final_statuses["job-g"] == "done" and world.final_statuses["job-more"] == "done"
     large = [
         key
         for key, (value, _, _) in world.store.items.items()
@@ -106,14 +106,14 @@
     assert all(p is not None and p.controller.upgrade.complete for p in world.processes.values())
     world.users.submit(job("job-g", tasks=3, estimate_s=6.0, team=Team("blue"), shape=Shape.GANG))
     world.finish()
-    assert world.told_final["job-g"] == "done"
+    assert world.final_statuses["job-g"] == "done"
 
 
 def answers_to(world: World, member: str, spec: JobSpec) -> list[Response]:
     found: list[Response] = []
     world.specs[spec.ref] = spec
     world.users.accepted_when_stored(spec.ref)
-    world.ask(member, lambda number: SubmitJob(number, spec), found.append)
+    world.request(member, lambda number: SubmitJob(number, spec), found.append)
     world.clock.advance(1.0)
     return found
 
@@ -140,7 +140,7 @@
     assert {"job-10", "job-11", "job-12"} <= done
     assert all("span" not in value for key, (value, _, _) in world.store.items.items()
                if key.startswith("work/")), "the missing one may come back old"  # fmt: skip
-    world.begin(missing)
+    world.start_controller(missing)
     world.finish()
     assert "job-g12" not in world.accepted
 
@@ -165,7 +165,7 @@
         assert world.leading() and world.leading()[0] in wanted
         if turn == 1:
             world.users.cancel(f"job-t{turn}")
-        host = next(w for w in world.workers.values() if w.up and not w.gone)
+        host = next(w for w in world.workers.values() if w.up and not w.dead)
         host.hang(3.0)
         world.clock.advance(4.0)
     world.finish()
@@ -195,5 +195,5 @@
         world.drop_limits()
     world.clock.advance(1.0)
     world.finish()
-    assert world.told_final["job-g"] == "done" and world.told_final["job-many"] == "done"
+    assert world.final_statuses["job-g"] == "done" and world.final_statuses["job-many"] == "done"
     assert world.store.too_large <= 1
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -141,15 +141,15 @@
         if what == "direct":
             self.world.no_direct.add(name)
         else:
-            self.world.network.unheard.update((member, name) for member in MEMBERS)
+            self.world.network.one_way_cuts.update((member, name) for member in MEMBERS)
 
     @rule(chance=st.sampled_from((0.0, 0.2, 0.6)))
     def late_copies(self, chance: float) -> None:
-        self.world.copies = chance
+        self.world.duplicates = chance
 
     @rule(which=st.integers(0, 30))
     def restart_machine(self, which: int) -> None:
-        names = [n for n, w in sorted(self.world.workers.items()) if not w.gone]
+        names = [n for n, w in sorted(self.world.workers.items()) if not w.dead]
         if names:
             self.world.workers[names[which % len(names)]].restart()
 
@@ -163,7 +163,7 @@
 
     @rule(member=members, seconds=st.sampled_from((3.0, 20.0)))
     def refuse(self, member: str, seconds: float) -> None:
-        self.world.store.refuses[member] = self.world.clock.now + seconds
+        self.world.store.refused_until[member] = self.world.clock.now + seconds
 
     @rule(which=st.integers(0, 30), seconds=st.sampled_from((3.0, 8.0, 25.0)))
     def hang(self, which: int, seconds: float) -> None:
@@ -176,7 +176,7 @@
         """Every other machine hangs, or loses power and is back at once."""
         for name in sorted(self.world.workers)[::2]:
             worker = self.world.workers[name]
-            if again and not worker.gone:
+            if again and not worker.dead:
                 worker.restart()
             else:
                 worker.hang(seconds)
@@ -201,7 +201,7 @@
         """It reaches no controller, while direct messages reach it."""
         names = sorted(self.world.workers)
         if names:
-            self.world.mute.add(names[which % len(names)])
+            self.world.silenced.add(names[which % len(names)])
 
     @rule(chance=st.sampled_from((0.0, 0.2, 0.5)))
     def late_writes(self, chance: float) -> None:
@@ -239,10 +239,10 @@
         if self.jobs:
             ref = self.jobs[which % len(self.jobs)]
             world.users.submit(world.specs[ref], tries=0)
-            if ref in world.told_final:
+            if ref in world.final_statuses:
                 world.users.cancel(ref)
-        world.users.refused(job(f"job-large-{which}", cpus=64.0), f"job-large-{which}", 422)
-        world.users.refused(None, f"job-odd-{which}", 400)
+        world.users.submit_invalid(job(f"job-large-{which}", cpus=64.0), f"job-large-{which}", 422)
+        world.users.submit_invalid(None, f"job-odd-{which}", 400)
         world.clock.advance(0.2)
 
     @rule(
@@ -268,7 +268,7 @@
         """The store refuses the leader alone; others confirm cancellations; then it is out."""
         world = self.world
         for member in world.leading():
-            world.store.refuses[member] = world.clock.now + 14.0
+            world.store.refused_until[member] = world.clock.now + 14.0
         world.clock.advance(0.1)
         for ref in self.jobs[-count:]:
             world.users.cancel(ref)
@@ -282,7 +282,7 @@
     @rule(apart_s=st.sampled_from((0.1, 3.0)), back_s=st.sampled_from((0.1, 2.0)))
     def roll(self, apart_s: float, back_s: float) -> None:
         """All controllers, one after the other, amid late copies of reports."""
-        self.world.copies = 0.6
+        self.world.duplicates = 0.6
         for member in MEMBERS:
             self.world.crash(member, back_s)
             self.world.clock.advance(apart_s)
@@ -292,7 +292,7 @@
         names = sorted(self.world.workers)
         if names:
             worker = self.world.workers[names[which % len(names)]]
-            worker.gone = True
+            worker.dead = True
             worker.tasks.clear()
 
     @rule(which=st.integers(0, 30))
@@ -300,7 +300,7 @@
         names = [n for n, w in sorted(self.world.workers.items()) if w.spot]
         if names:
             worker = self.world.workers[names[which % len(names)]]
-            worker.notice_until = self.world.clock.now + 6.0
+            worker.reclaimed_at = self.world.clock.now + 6.0
 
     @rule(chance=st.sampled_from((0.0, 0.1, 0.4)))
     def flaky(self, chance: float) -> None:
@@ -332,5 +332,5 @@
     for number in range(5):
         world.users.query(f"job-{number}")
     world.clock.advance(1.0)
-    assert world.told_final == {f"job-{number}": "done" for number in range(5)}
+    assert world.final_statuses == {f"job-{number}": "done" for number in range(5)}
     assert world.started == 20
--- a/tests/test_unresponsive_workers.py
+++ b/tests/test_unresponsive_workers.py
@@ -42,13 +42,13 @@
 
 def test_work_on_a_machine_that_receives_nothing_is_done_elsewhere(busy: World) -> None:
     name = hosts(busy)[0]
-    busy.network.unheard.update((member, name) for member in MEMBERS)
+    busy.network.one_way_cuts.update((member, name) for member in MEMBERS)
     busy.clock.advance(LEASE_S + 10.0)
-    assert busy.workers[name].gone, "returned, so that it holds nothing any more"
+    assert busy.workers[name].dead, "returned, so that it holds nothing any more"
     busy.clock.advance(120.0)
     busy.users.query("job-long")
     busy.clock.advance(1.0)
-    assert busy.told_final == {"job-long": "done"}
+    assert busy.final_statuses == {"job-long": "done"}
 
 
 def test_a_machine_that_only_direct_commands_do_not_reach_stays_in_use(busy: World) -> None:
@@ -57,11 +57,11 @@
     for number in range(4):
         busy.users.submit(job(f"job-{number}", tasks=2, estimate_s=3.0, team=Team("blue")))
         busy.clock.advance(12.0)
-    assert not busy.workers[name].gone
+    assert not busy.workers[name].dead
     for number in range(4):
         busy.users.query(f"job-{number}")
     busy.clock.advance(1.0)
-    assert set(busy.told_final) >= {f"job-{number}" for number in range(4)}
+    assert set(busy.final_statuses) >= {f"job-{number}" for number in range(4)}
 
 
 def test_a_machine_that_looks_for_a_controller_is_probed_before_it_is_given_up(
@@ -73,13 +73,13 @@
     # It waits for answers of two controllers in turn: longer than silence is borne with, but not
     # yet longer than its lease.
     reachable = next(m for m in MEMBERS if m != leader)
-    worker.node = MEMBERS.index(reachable) + 1
+    worker.controller_index = MEMBERS.index(reachable) + 1
     for member in MEMBERS:
         if member != reachable:
             busy.network.cut(name, member, "hold")
     held = set(worker.tasks)
     busy.clock.advance(8.0)
-    assert not worker.gone and held <= set(worker.tasks)
+    assert not worker.dead and held <= set(worker.tasks)
 
 
 def test_a_zone_that_is_cut_off_hides_no_dead_machine_elsewhere_and_is_not_returned() -> None:
--- a/tests/world/__init__.py
+++ b/tests/world/__init__.py
@@ -2,22 +2,43 @@
 
 It holds three controller cores to every rule of the protocol, at the moment a rule could
 break, and knows nothing of how they decide.
+
+Modules: `world` has the state and the controllers' processes, `effects` carries out what they
+decide; `store_calls` and `worker_calls` are the calls over the `network`; `store`, `cloud`,
+`worker` and `gangs` are what the protocol describes; `users` submit and cancel; `rules` checks;
+`scenario` has the deployment; `clock` the simulated time.
+
+The faults, by the names that tests and docs use:
+
+- cut: no messages between two hosts. With mode `hold` they arrive after the cut, with `reset`
+  they are refused at once. A one-way cut loses one direction.
+- outage: the store serves nobody. `refused_until`: it does not serve one controller.
+- crash: a controller ends and restarts later. freeze, `stalls_s`: it does nothing for a while,
+  although its clocks run on. `cost_s`: it is slow. `drift`: its clock runs faster or slower.
+- hang: a machine does nothing now and everything later. restart: it loses power and is back at
+  once. dead: it never comes back. `reclaimed_at`: the cloud takes it then. faulty: its tasks fail.
+- silenced: a worker's heartbeats reach no controller. `no_direct`: direct commands do not reach it.
+- flaky: the chance that a commit, a direct command or a rental gets no reply and is carried out
+  late. `late_writes`: the same for all writes to the store. `duplicates`: the chance that a
+  heartbeat or a direct command arrives once more later.
+
+The names of the rules in `tests/test_rules.py` are kept: the days that are drawn depend on them.
 """
 
 from .scenario import (
     CANCEL_S,
     GANG_PEER_S,
     GANG_WAIT_S,
-    HOMES,
+    HEARTBEAT_S,
     LEASE_S,
     LIMITS,
+    MAX_WAIT_S,
+    MEMBER_ZONES,
     MEMBERS,
     NEXT_LIMITS,
     REGION,
-    REPORT_S,
     TEAMS,
     TYPES,
-    WAITS_S,
     ZONES,
     RuleBrokenError,
     deployment,
@@ -29,16 +50,16 @@
     "CANCEL_S",
     "GANG_PEER_S",
     "GANG_WAIT_S",
-    "HOMES",
+    "HEARTBEAT_S",
     "LEASE_S",
     "LIMITS",
+    "MAX_WAIT_S",
     "MEMBERS",
+    "MEMBER_ZONES",
     "NEXT_LIMITS",
     "REGION",
-    "REPORT_S",
     "TEAMS",
     "TYPES",
-    "WAITS_S",
     "ZONES",
     "RuleBrokenError",
     "World",
--- a/tests/world/clock.py
+++ b/tests/world/clock.py
@@ -8,7 +8,7 @@
 
 
 class Clock:
-    """Events in order of time; nothing waits for real."""
+    """Runs events in the order of simulated time."""
 
     def __init__(self) -> None:
         self.now = 1000.0
--- a/tests/world/effects.py
+++ b/tests/world/effects.py
@@ -1,4 +1,4 @@
-"""What a controller decides is carried out."""
+"""Carries out the effects that a controller decides on."""
 
 from __future__ import annotations
 
@@ -39,15 +39,15 @@
 
 
 class Effects:
-    """What a controller decides is carried out."""
+    """Carries out the effects that a controller decides on."""
 
     def __init__(self, world: World) -> None:
         self.world = world
 
     def carry_out(self, member: str, process: Process, effect: Effect) -> None:  # noqa: C901 - one case a message
-        def back(*results: Any) -> None:
+        def reply(*results: Any) -> None:
             call: Any = effect
-            self.world.feed(member, process, CallCompleted(call.continuation, results))
+            self.world.deliver(member, process, CallCompleted(call.continuation, results))
 
         match effect:
             case Response() | HeartbeatResponse():
@@ -55,12 +55,12 @@
                 if continuation is not None:
                     continuation(effect)
             case Delay():
-                self.world.clock.after(effect.delay_s, lambda: back())
+                self.world.clock.after(effect.delay_s, lambda: reply())
             case BroadcastProgress():
-                counts = ProgressReceived(effect.message)
+                progress = ProgressReceived(effect.message)
                 for other in MEMBERS:
-                    if other != member and self.world.network.whole(member, other):
-                        self.world.clock.after(0.01, partial(self.world.hear, other, counts))
+                    if other != member and self.world.network.connected(member, other):
+                        self.world.clock.after(0.01, partial(self.world.receive, other, progress))
             case LogRecord():
                 pass
             case IndirectProbe():
@@ -74,36 +74,38 @@
                 self.world.network.send(
                     member,
                     other,
-                    lambda: self.world.hear(other, ShardRequested(Member(member), effect.view)),
+                    lambda: self.world.receive(other, ShardRequested(Member(member), effect.view)),
                 )
             case ProposeShard():
                 other = effect.member
-                told = ShardProposed(Member(member), effect.proposal)
+                proposal = ShardProposed(Member(member), effect.proposal)
 
                 def propose() -> None:
-                    self.world.network.send(member, other, lambda: self.world.hear(other, told))
+                    self.world.network.send(
+                        member, other, lambda: self.world.receive(other, proposal)
+                    )
 
-                # An owner may be slow, and its proposal outdated when it comes.
+                # A shard owner may be slow, and its proposal outdated when it arrives.
                 self.world.clock.after(self.world.rng.choice((0.0, 0.0, 0.0, 0.3, 5.2)), propose)
             case RevokeLease():
-                self.world.store_calls.state(member, effect, lambda *_: None)
+                self.world.store_calls.call(member, effect, lambda *_: None)
             case DirectCommand():
-                self.world.worker_calls.direct(member, effect, back)
+                self.world.worker_calls.direct(member, effect, reply)
             case Rent() | DeleteMachines() | ListMachines() | ListTypes():
-                self.world.clouds.cloud(member, effect, back)
+                self.world.cloud.call(member, effect, reply)
             case _:
-                self.world.store_calls.state(member, effect, back)
+                self.world.store_calls.call(member, effect, reply)
 
-    def probe(self, member: str, other: str, asked: IndirectProbe) -> None:
+    def probe(self, member: str, other: str, probe: IndirectProbe) -> None:
         if self.world.processes[other] is None:
             return
 
         def found(reply: DirectReply) -> None:
-            report = reply.heartbeat
-            if report is not None:
+            heartbeat = reply.heartbeat
+            if heartbeat is not None:
                 self.world.network.send(
-                    other, member, lambda: self.world.hear(member, ProbeReply(report))
+                    other, member, lambda: self.world.receive(member, ProbeReply(heartbeat))
                 )
 
-        call = DirectCommand(asked.address, asked.token, asked.agent_epoch, (), void)
+        call = DirectCommand(probe.address, probe.token, probe.agent_epoch, (), void)
         self.world.worker_calls.direct(other, call, found)
--- a/tests/world/helpers.py
+++ b/tests/world/helpers.py
@@ -15,4 +15,4 @@
 
 
 def void(*_: object) -> None:
-    """Makes a statement of an expression."""
+    """Takes any arguments and does nothing: a callback for results that nobody needs."""
--- a/tests/world/network.py
+++ b/tests/world/network.py
@@ -1,4 +1,4 @@
-"""What goes between two hosts, and what keeps it from arriving."""
+"""Messages between two hosts, and the cuts that keep them from arriving."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class Network:
-    """Delivers, holds back or cuts off what goes between two hosts."""
+    """Delivers messages between two hosts, or delays, refuses or loses them."""
 
     def __init__(self, clock: Clock, rng: Random) -> None:
         self._clock = clock
         self._rng = rng
         self._cuts: dict[frozenset[str], str] = {}
-        self.unheard: set[tuple[str, str]] = set()
-        """Pairs of hosts of which the first can't make itself heard by the second."""
+        self.one_way_cuts: set[tuple[str, str]] = set()
+        """Pairs of source and target: what the source sends is lost, the other direction works."""
         self.slow_s = 0.0
         self._held: list[tuple[frozenset[str], Callable[[], None]]] = []
 
@@ -25,14 +25,14 @@
 
     def heal(self) -> None:
         self._cuts.clear()
-        self.unheard.clear()
+        self.one_way_cuts.clear()
         held, self._held = self._held, []
         for _, deliver in held:
             self._clock.after(self._rng.uniform(0.001, 0.05), deliver)
 
     def send(self, source: str, target: str, deliver: Callable[[], None]) -> bool:
-        """False: refused at once. Otherwise it arrives now, or after the cut, or never."""
-        if (source, target) in self.unheard:
+        """Whether it was accepted: then it arrives now, after the cut, or never."""
+        if (source, target) in self.one_way_cuts:
             return True
         pair = frozenset((source, target))
         mode = self._cuts.get(pair)
@@ -44,5 +44,5 @@
             self._clock.after(self._rng.uniform(0.001, 0.02 + self.slow_s), deliver)
         return True
 
-    def whole(self, one: str, other: str) -> bool:
+    def connected(self, one: str, other: str) -> bool:
         return frozenset((one, other)) not in self._cuts
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -1,4 +1,4 @@
-"""The rules of the protocol, checked the moment they could break."""
+"""The rules of the protocol, checked whenever one of them could be broken."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from crosscleat.core.model.ids import TaskId
 from crosscleat.core.model.job_spec import JobSpec
 
-from .scenario import CANCEL_S, TEAMS, WAITS_S, RuleBrokenError
+from .scenario import CANCEL_S, MAX_WAIT_S, TEAMS, RuleBrokenError
 from .worker import Worker
 
 if TYPE_CHECKING:
@@ -15,36 +15,37 @@
 
 
 class Rules:
-    """The rules of the protocol, checked the moment they could break."""
+    """The rules of the protocol, checked whenever one of them could be broken."""
 
     def __init__(self, world: World) -> None:
         self.world = world
 
     def check_start(self, worker: Worker, task: TaskId, spec: JobSpec) -> None:
         self.world.started += 1
-        is_planned_elsewhere = [
+        elsewhere = [
             w.id
             for w in self.world.workers.values()
             if w is not worker
-            and any(t == task and held.state != "exited" for (t, _), held in w.tasks.items())
-        ]
-        if is_planned_elsewhere:
-            raise RuleBrokenError(
-                f"ran_twice: {task} starts on {worker.id}, is on {is_planned_elsewhere}"
+            and any(
+                t == task and worker_task.state != "exited"
+                for (t, _), worker_task in w.tasks.items()
             )
-        told = self.world.cancel_told.get(task.job)
-        if told is not None and self.world.clock.now > told + CANCEL_S:
+        ]
+        if elsewhere:
+            raise RuleBrokenError(f"ran_twice: {task} starts on {worker.id}, is on {elsewhere}")
+        confirmed_at = self.world.cancel_confirmed_at.get(task.job)
+        if confirmed_at is not None and self.world.clock.now > confirmed_at + CANCEL_S:
             raise RuleBrokenError(f"ran_cancelled: {task} starts on {worker.id}")
         if spec.ref not in self.world.accepted:
             raise RuleBrokenError(f"never accepted: {task}")
         places = [
             w.zone
             for w in self.world.workers.values()
-            for (t, _), held in w.tasks.items()
-            if t.job == task.job and held.state != "exited"
+            for (t, _), worker_task in w.tasks.items()
+            if t.job == task.job and worker_task.state != "exited"
         ]
         wrong = (
-            (spec.types is not None and worker.kind.name not in spec.types)
+            (spec.types is not None and worker.machine_type.name not in spec.types)
             or (spec.zone is not None and worker.zone != spec.zone)
             or (worker.spot and not spec.spot)
             or (spec.one_zone and any(zone != worker.zone for zone in places))
@@ -55,42 +56,42 @@
         used = spec.cpus + sum(
             self.world.specs[t.job].cpus
             for w in self.world.workers.values()
-            for (t, _), held in w.tasks.items()
-            if held.state != "exited" and self.world.specs[t.job].team == spec.team
+            for (t, _), worker_task in w.tasks.items()
+            if worker_task.state != "exited" and self.world.specs[t.job].team == spec.team
         )
         if used > TEAMS[spec.team].cpus_max + 1e-6:
             raise RuleBrokenError(f"quota: {spec.team} uses {used}")
 
-    def patrol(self) -> None:
+    def check_running(self) -> None:
         for key, (value, _, _) in self.world.store.items.items():
-            if self.world.old and key.startswith("work/") and "span" in value:
+            if self.world.old_version and key.startswith("work/") and "span" in value:
                 raise RuleBrokenError(f"{key}: a version that may lead can't read it")
         for worker in self.world.workers.values():
-            for (task, _), held in worker.tasks.items():
-                told = self.world.cancel_told.get(task.job)
-                late = told is not None and self.world.clock.now > told + CANCEL_S
-                if held.state != "exited" and late:
+            for (task, _), worker_task in worker.tasks.items():
+                confirmed_at = self.world.cancel_confirmed_at.get(task.job)
+                late = confirmed_at is not None and self.world.clock.now > confirmed_at + CANCEL_S
+                if worker_task.state != "exited" and late:
                     raise RuleBrokenError(f"ran_cancelled: {task} is on {worker.id}")
-        self.world.clock.after(0.5, self.patrol)
+        self.world.clock.after(0.5, self.check_running)
 
     def watch_waiting(self, since: dict[str, float]) -> None:
-        """From now on nothing fails: no job waits for long while a machine has room for it."""
+        """From now on nothing fails: no job waits long while a machine has free capacity for it."""
         for ref, spec in self.world.specs.items():
-            waits = ref in self.world.accepted and ref not in self.world.cancel_asked
-            if waits and spec.job_class != "broken" and self.idle_room(spec):
+            waits = ref in self.world.accepted and ref not in self.world.cancel_requested
+            if waits and spec.job_class != "broken" and self.has_free_capacity(spec):
                 since.setdefault(ref, self.world.clock.now)
-                if self.world.clock.now - since[ref] > WAITS_S:
-                    raise RuleBrokenError(f"waits: {ref} while a machine has room for it")
+                if self.world.clock.now - since[ref] > MAX_WAIT_S:
+                    raise RuleBrokenError(f"waits: {ref} while a machine has free capacity for it")
             else:
                 since.pop(ref, None)
         self.world.clock.after(1.0, lambda: self.watch_waiting(since))
 
-    def idle_room(self, spec: JobSpec) -> bool:
-        """Whether a task of the job waits, and could be on a machine that is up."""
+    def has_free_capacity(self, spec: JobSpec) -> bool:
+        """Whether a task of the job waits although it fits a machine that is up."""
         held = [
             (w, t)
             for w in self.world.workers.values()
-            if not w.gone
+            if not w.dead
             for (t, _), task in w.tasks.items()
             if task.state != "exited"
         ]
@@ -109,12 +110,12 @@
             return False
         zones = [w.zone for w, t in held if t.job == spec.ref]
         return any(
-            w.up and not w.gone and w.notice_until is None
+            w.up and not w.dead and w.reclaimed_at is None
             and (spec.spot or not w.spot)
             and spec.zone in (None, w.zone)
             and not (spec.one_zone and any(zone != w.zone for zone in zones))
             and not (spec.spread and zones.count(w.zone) >= spec.per_zone())
-            and spec.cpus
-            + sum(self.world.specs[t.job].cpus for other, t in held if other is w) <= w.kind.cpus
+            and spec.cpus + sum(self.world.specs[t.job].cpus for other, t in held if other is w)
+            <= w.machine_type.cpus
             for w in self.world.workers.values()
         )  # fmt: skip
--- a/tests/world/scenario.py
+++ b/tests/world/scenario.py
@@ -1,4 +1,4 @@
-"""The deployment that the world plays, and jobs for it."""
+"""The deployment that the world simulates, and jobs for it."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
     Scan,
 )
 
-REPORT_S = 2.0
+HEARTBEAT_S = 2.0
 LEASE_S = 10.0
 CANCEL_S = 30.0
 GANG_WAIT_S = 15.0
 GANG_PEER_S = 3.0
 TICK_S = 0.2
-WAITS_S = 90.0
-USER_WAITS_S = 2.0
-SUBMITTER_WAITS_S = 5.0
-PATIENCE_S: dict[type, float] = {
+MAX_WAIT_S = 90.0
+USER_TIMEOUT_S = 2.0
+SUBMIT_TIMEOUT_S = 5.0
+STORE_TIMEOUT_S: dict[type, float] = {
     Commit: 2.0, Read: 1.5, Scan: 10.0, GrantLease: 2.0, RenewLease: 1.0, RevokeLease: 2.0,
 }  # fmt: skip
-"""How long an answer of the store is waited for."""
+"""Seconds for which a reply of the store is awaited."""
 REGION = "region"
 ZONES = ("a", "b")
 MEMBERS = ("c0", "c1", "c2")
-HOMES = ("a", "b", "c")
-"""The controllers' zones."""
+MEMBER_ZONES = ("a", "b", "c")
+"""The zone of each controller, in the order of MEMBERS."""
 
 TYPES = [
     MachineType(
@@ -48,23 +48,23 @@
 
 
 class RuleBrokenError(AssertionError):
-    pass
+    """A controller broke a rule of the protocol; the text begins with the rule's name."""
 
 
 def job(ref: str, **changes: Any) -> JobSpec:
-    given: dict[str, Any] = {
+    fields: dict[str, Any] = {
         "ref": JobRef(ref), "job_class": "plain", "team": Team("red"),
         "priority": Priority.NORMAL, "tasks": 3, "cpus": 2.0, "gpus": 0.0, "memory_gb": 2.0,
         "image": Image("img"), "image_gb": 0.5, "types": None, "zone": None, "one_zone": False,
         "spread": False, "spot": True, "estimate_s": 6.0, "checkpoint_s": 0.0, "save_s": 0.0,
         "deadline_s": None,
     }  # fmt: skip
-    return JobSpec(**{**given, **changes})
+    return JobSpec(**{**fields, **changes})
 
 
 LIMITS = (16.0, 8)
 NEXT_LIMITS = (2.0, 5)
-"""KiB of a value and writes of a transaction, now and later."""
+"""KiB of a value and writes of a transaction: now, and after the announced change."""
 
 
 def deployment(member: str, limits: tuple[float, int] = LIMITS) -> Deployment:
@@ -73,7 +73,7 @@
         members=tuple(Member(m) for m in MEMBERS),
         teams=dict(TEAMS),
         objectives=(Objective("finished", "plain", 60.0),),
-        heartbeat_interval_s=REPORT_S,
+        heartbeat_interval_s=HEARTBEAT_S,
         lease_s=LEASE_S,
         cancel_s=CANCEL_S,
         gang_wait_s=GANG_WAIT_S,
--- a/tests/world/store.py
+++ b/tests/world/store.py
@@ -1,4 +1,4 @@
-"""The state service."""
+"""The key-value store: compare-and-swap, leases, watches, outages and limits."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Store:
-    """The state service."""
+    """The key-value store: compare-and-swap, leases, watches, outages and limits."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -30,14 +30,14 @@
         self.limits = LIMITS
         self.too_large = 0
         """Transactions refused for their size."""
-        self.refuses: dict[str, float] = {}
+        self.refused_until: dict[str, float] = {}
         self.revision = 0
         self.items: dict[str, tuple[Any, int, int | None]] = {}
         self._log: list[tuple[int, str, Any]] = []
         self._leases: dict[int, tuple[float, float]] = {}
 
     def serves(self, member: str) -> bool:
-        return self._clock.now >= max(self.out_until, self.refuses.get(member, 0.0))
+        return self._clock.now >= max(self.out_until, self.refused_until.get(member, 0.0))
 
     def outage(self, seconds: float) -> None:
         self.expire()
@@ -57,7 +57,7 @@
         self._leases[number] = (life, self._clock.now + life)
         return number
 
-    def touch(self, number: int) -> bool:
+    def renew(self, number: int) -> bool:
         if number not in self._leases:
             return False
         life, _ = self._leases[number]
@@ -66,10 +66,10 @@
 
     def revoke(self, number: int) -> None:
         self._leases.pop(number, None)
-        gone = [key for key, (_, _, lease) in self.items.items() if lease == number]
-        if gone:
+        expired = [key for key, (_, _, lease) in self.items.items() if lease == number]
+        if expired:
             self.revision += 1
-        for key in gone:
+        for key in expired:
             del self.items[key]
             self._log.append((self.revision, key, None))
 
@@ -91,7 +91,7 @@
             self.revision += 1
         for write in call.writes:
             if isinstance(write, Put):
-                # As sent and stored: a value is a copy, never the core's own object.
+                # Encoded and decoded: a stored value is never the core's own object.
                 value = msgspec.msgpack.decode(msgspec.msgpack.encode(write.value))
                 self.items[write.key] = (value, self.revision, write.lease)
                 self._log.append((self.revision, write.key, value))
@@ -120,7 +120,7 @@
         found = [self.item(key) for key in sorted(self.items) if key.startswith(prefix)]
         return Listing([item for item in found if item], Version(self.revision))
 
-    def news(self, prefix: str, after: int) -> list[Item]:
+    def changes_after(self, prefix: str, after: int) -> list[Item]:
         self.expire()
         return [
             Item(key, value, Version(0 if value is None else revision))
--- a/tests/world/users.py
+++ b/tests/world/users.py
@@ -1,4 +1,4 @@
-"""Users: they submit, ask, cancel, and remember what they were told."""
+"""Users: they submit, query and cancel jobs, and remember each response."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from crosscleat.core.model.inputs import CancelJob, QueryJob, RejectJob, SubmitJob
 from crosscleat.core.model.job_spec import JobSpec
 
-from .scenario import MEMBERS, SUBMITTER_WAITS_S, USER_WAITS_S, RuleBrokenError
+from .scenario import MEMBERS, SUBMIT_TIMEOUT_S, USER_TIMEOUT_S, RuleBrokenError
 
 if TYPE_CHECKING:
     from .world import World
 
 
 class Users:
-    """Users: they submit, ask, cancel, and remember what they were told."""
+    """Users: they submit, query and cancel jobs, and remember each response."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -26,25 +26,25 @@
         sent = self.world.clock.now
 
         def answered(answer: Response) -> None:
-            if self.world.clock.now - sent > SUBMITTER_WAITS_S:
+            if self.world.clock.now - sent > SUBMIT_TIMEOUT_S:
                 return
             if answer.status in (200, 201):
                 self.world.accepted.add(spec.ref)
                 if answer.body["status"] in ("done", "aborted"):
-                    self.hear_final(spec.ref, answer.body["status"])
+                    self.receive_final_status(spec.ref, answer.body["status"])
             elif answer.status in (400, 422):
                 raise RuleBrokenError(f"forgotten or refused: {spec.ref} gets {answer.status}")
 
         member = self.world.rng.choice(MEMBERS)
-        # Started tasks are checked against this: the store may accept before the user hears.
+        # Started tasks are checked against this: the store may hold the job before the user knows.
         self.accepted_when_stored(spec.ref)
-        self.world.ask(member, lambda n: SubmitJob(n, spec), answered)
+        self.world.request(member, lambda n: SubmitJob(n, spec), answered)
         if tries > 0:
             self.world.clock.after(
-                self.world.rng.uniform(1.0, 3.0), lambda: self.again(spec, tries)
+                self.world.rng.uniform(1.0, 3.0), lambda: self.submit_again(spec, tries)
             )
 
-    def again(self, spec: JobSpec, tries: int) -> None:
+    def submit_again(self, spec: JobSpec, tries: int) -> None:
         if spec.ref not in self.world.accepted or self.world.rng.random() < 0.05:
             self.submit(spec, tries - 1)
 
@@ -55,26 +55,28 @@
             self.world.clock.after(0.01, lambda: self.accepted_when_stored(ref))
 
     def query(self, ref: str) -> None:
-        # As of now: a poll under way while the job is accepted may still find nothing.
+        # As of now: a query in flight while the job is accepted may still find nothing.
         known = ref in self.world.accepted
         sent = self.world.clock.now
 
         def answered(answer: Response) -> None:
-            if self.world.clock.now - sent > USER_WAITS_S:
+            if self.world.clock.now - sent > USER_TIMEOUT_S:
                 return
             if answer.status in (200, 404):
-                self.world.answered[ref] = self.world.clock.now
+                self.world.last_answered_at[ref] = self.world.clock.now
             if answer.status == 404 and known:
                 raise RuleBrokenError(f"forgotten: {ref}")
             if answer.status == 200:
                 if ref not in self.world.specs:
                     raise RuleBrokenError(f"invented: {ref}")
-                self.hear_status(ref, answer.body["status"], sent)
+                self.receive_status(ref, answer.body["status"], sent)
 
-        self.world.ask(self.world.rng.choice(MEMBERS), lambda n: QueryJob(n, JobRef(ref)), answered)
+        self.world.request(
+            self.world.rng.choice(MEMBERS), lambda n: QueryJob(n, JobRef(ref)), answered
+        )
 
-    def refused(self, spec: JobSpec | None, ref: str, status: int) -> None:
-        """A submission that can't be accepted: it fits no machine, or lacks a field."""
+    def submit_invalid(self, spec: JobSpec | None, ref: str, status: int) -> None:
+        """A submission that cannot be accepted: it fits no machine, or lacks a field."""
 
         def answered(answer: Response) -> None:
             if answer.status != 503 and answer.status != (
@@ -83,14 +85,14 @@
                 raise RuleBrokenError(f"{ref} gets {answer.status}, not {status}")
 
         number = JobRef(ref)
-        self.world.ask(
+        self.world.request(
             self.world.rng.choice(MEMBERS),
             lambda n: RejectJob(n, number, status) if spec is None else SubmitJob(n, spec),
             answered,
         )
 
     def task_done(self, task: TaskId) -> None:
-        """A task has completed; users may call its job off just then."""
+        """A task has completed; users may cancel its job at this moment."""
         missing = any(
             TaskId(task.job, n) not in self.world.results
             for n in range(self.world.specs[task.job].tasks)
@@ -101,48 +103,50 @@
             )
 
     def poll_for(self, ref: str, seconds: float) -> None:
-        """As users do, every five seconds."""
+        """Queries the job every five seconds for a while."""
         self.query(ref)
         if seconds > 5.0:
             self.world.clock.after(5.0, lambda: self.poll_for(ref, seconds - 5.0))
 
     def cancel(self, ref: str, tries: int = 30) -> None:
-        self.world.cancel_asked.add(ref)
+        self.world.cancel_requested.add(ref)
         sent = self.world.clock.now
 
         def answered(answer: Response) -> None:
-            if self.world.clock.now - sent > USER_WAITS_S:
+            if self.world.clock.now - sent > USER_TIMEOUT_S:
                 return
             if answer.status == 200:
                 assert answer.body["status"] in ("done", "aborted")
-                self.hear_final(ref, answer.body["status"])
+                self.receive_final_status(ref, answer.body["status"])
 
-        self.world.ask(
+        self.world.request(
             self.world.rng.choice(self.world.serving), lambda n: CancelJob(n, JobRef(ref)), answered
         )
-        if tries > 0 and ref not in self.world.told_final:
+        if tries > 0 and ref not in self.world.final_statuses:
             self.world.clock.after(1.0, lambda: self.cancel_again(ref, tries - 1))
 
     def cancel_again(self, ref: str, tries: int) -> None:
-        if ref not in self.world.told_final:
+        if ref not in self.world.final_statuses:
             self.cancel(ref, tries)
 
-    def hear_status(self, ref: str, status: str, asked: float) -> None:
+    def receive_status(self, ref: str, status: str, sent: float) -> None:
         if status in ("done", "aborted"):
-            self.hear_final(ref, status)
-        elif self.world.told_at.get(ref, asked) < asked:
-            # What was asked before may be answered as of then, by a controller that is slow.
-            raise RuleBrokenError(f"went_back: {ref} was {self.world.told_final[ref]}, is {status}")
-
-    def hear_final(self, ref: str, status: str) -> None:
-        before = self.world.told_final.setdefault(ref, status)
-        self.world.told_at.setdefault(ref, self.world.clock.now)
+            self.receive_final_status(ref, status)
+        elif self.world.final_since.get(ref, sent) < sent:
+            # A slow controller may answer an earlier query with the status of that time.
+            raise RuleBrokenError(
+                f"went_back: {ref} was {self.world.final_statuses[ref]}, is {status}"
+            )
+
+    def receive_final_status(self, ref: str, status: str) -> None:
+        before = self.world.final_statuses.setdefault(ref, status)
+        self.world.final_since.setdefault(ref, self.world.clock.now)
         if before != status:
             raise RuleBrokenError(f"went_back: {ref} was {before}, is {status}")
         if status == "aborted":
-            if ref not in self.world.cancel_asked:
+            if ref not in self.world.cancel_requested:
                 raise RuleBrokenError(f"went_back: {ref} cancelled by nobody")
-            self.world.cancel_told.setdefault(ref, self.world.clock.now)
+            self.world.cancel_confirmed_at.setdefault(ref, self.world.clock.now)
         else:
             tasks = self.world.specs[ref].tasks
             missing = [n for n in range(tasks) if TaskId(JobRef(ref), n) not in self.world.results]
--- a/tests/world/worker.py
+++ b/tests/world/worker.py
@@ -1,4 +1,4 @@
-"""A machine and its worker, as the protocol describes them."""
+"""One machine and its worker, as the protocol describes them."""
 
 from __future__ import annotations
 
@@ -18,19 +18,21 @@
     StartOrder,
 )
 
-from .scenario import LEASE_S, MEMBERS, REPORT_S
+from .scenario import HEARTBEAT_S, LEASE_S, MEMBERS
 
 if TYPE_CHECKING:
     from .world import World
 
 
 @dataclass
-class Task:
+class WorkerTask:
+    """One attempt that a worker reports."""
+
     attempt: int
     state: str
     cause: str | None = None
     since: float = 0.0
-    """When it began to wait for its gang, or to be without a part of it."""
+    """When it began to wait for the other members of its gang, or lost one; 0.0 for neither."""
 
 
 @dataclass
@@ -39,52 +41,52 @@
 
     world: World
     id: str
-    kind: MachineType
+    machine_type: MachineType
     zone: str
     spot: bool
-    born: float
+    created_at: float
     up: bool = False
-    gone: bool = False
+    dead: bool = False
     hung_until: float = 0.0
-    session: int = 1
-    tally: int = 0
+    agent_epoch: int = 1
+    sequence: int = 0
     token: int = 0
-    lease_from: float = 0.0
-    node: int = 0
-    report_number: int = 0
-    notice_until: float | None = None
+    lease_renewed_at: float = 0.0
+    controller_index: int = 0
+    heartbeat_number: int = 0
+    reclaimed_at: float | None = None
     faulty: bool = False
-    tasks: dict[tuple[TaskId, int], Task] = field(default_factory=dict)
+    tasks: dict[tuple[TaskId, int], WorkerTask] = field(default_factory=dict)
 
     def boot(self) -> None:
-        if self.gone:
+        if self.dead:
             return
         self.up = True
-        self.lease_from = self.world.clock.now
-        self.receive_heartbeat()
+        self.lease_renewed_at = self.world.clock.now
+        self.send_heartbeat()
         self.watch_lease()
 
     def watch_lease(self) -> None:
-        if self.gone:
+        if self.dead:
             return
-        left = self.lease_from + LEASE_S - self.world.clock.now
+        left = self.lease_renewed_at + LEASE_S - self.world.clock.now
         if left <= 1e-9:
             self.tasks.clear()
-            self.session += 1
-            self.lease_from = self.world.clock.now
+            self.agent_epoch += 1
+            self.lease_renewed_at = self.world.clock.now
             left = LEASE_S
         self.world.clock.after(left, self.watch_lease)
 
     def restart(self) -> None:
-        """Power lost and back at once: it counts its sessions from 1 again."""
+        """Power lost and back at once: its agent epochs begin at 1 again."""
         self.tasks.clear()
-        self.session = 1
-        self.tally = 0
+        self.agent_epoch = 1
+        self.sequence = 0
         self.token = 0
-        self.lease_from = self.world.clock.now
-        self.report_number += 1
-        if self.up and not self.gone:
-            self.receive_heartbeat()
+        self.lease_renewed_at = self.world.clock.now
+        self.heartbeat_number += 1
+        if self.up and not self.dead:
+            self.send_heartbeat()
 
     @property
     def hung(self) -> bool:
@@ -94,8 +96,8 @@
         self.hung_until = self.world.clock.now + seconds
 
     def when_awake(self, act: Callable[[], None]) -> None:
-        """A hanging machine does nothing now and everything later."""
-        if self.gone:
+        """Runs the action now, or when the machine stops hanging; a dead one never does."""
+        if self.dead:
             return
         if self.hung:
             self.world.clock.after(self.hung_until - self.world.clock.now + 1e-6,
@@ -103,61 +105,61 @@
         else:
             act()
 
-    def report(self) -> Heartbeat:
-        self.tally += 1
-        notice = self.notice_until
+    def heartbeat(self) -> Heartbeat:
+        self.sequence += 1
+        notice = self.reclaimed_at
         return Heartbeat(
-            MachineId(self.id), self.id, self.kind.name, Zone(self.zone), self.spot,
-            HeartbeatId(AgentEpoch(self.session), self.tally), self.token,
+            MachineId(self.id), self.id, self.machine_type.name, Zone(self.zone), self.spot,
+            HeartbeatId(AgentEpoch(self.agent_epoch), self.sequence), self.token,
             None if notice is None else max(0.0, notice - self.world.clock.now),
             tuple(TaskStatus(task, Attempt(attempt), t.state, t.cause)
                   for (task, attempt), t in self.tasks.items()),
         )  # fmt: skip
 
-    def receive_heartbeat(self) -> None:
-        if self.gone:
+    def send_heartbeat(self) -> None:
+        if self.dead:
             return
         if self.hung:
-            self.when_awake(self.receive_heartbeat)
+            self.when_awake(self.send_heartbeat)
             return
-        self.report_number += 1
-        number = self.report_number
-        session, sent = self.session, self.world.clock.now
-        report = self.report()
-        member = self.world.members[self.node % len(MEMBERS)]
+        self.heartbeat_number += 1
+        number = self.heartbeat_number
+        agent_epoch, sent = self.agent_epoch, self.world.clock.now
+        heartbeat = self.heartbeat()
+        member = self.world.members[self.controller_index % len(MEMBERS)]
 
-        def answered(answer: HeartbeatResponse | None) -> None:
-            self.when_awake(lambda: self.take(number, session, sent, answer))
+        def respond(response: HeartbeatResponse | None) -> None:
+            self.when_awake(lambda: self.receive_response(number, agent_epoch, sent, response))
 
-        self.world.worker_calls.deliver_check_in(self.id, member, report, answered)
-        self.world.clock.after(4.0, lambda: self.take(number, session, sent, None))
+        self.world.worker_calls.deliver_heartbeat(self.id, member, heartbeat, respond)
+        self.world.clock.after(4.0, lambda: self.receive_response(number, agent_epoch, sent, None))
 
-    def take(
-        self, number: int, session: int, sent: float, answer: HeartbeatResponse | None
+    def receive_response(
+        self, number: int, agent_epoch: int, sent: float, response: HeartbeatResponse | None
     ) -> None:
-        if self.gone or number != self.report_number:
+        if self.dead or number != self.heartbeat_number:
             return
         now = self.world.clock.now
-        self.report_number += 1
-        if answer is None or now - sent >= 4.0:
-            self.node += 1
-            self.world.clock.after(1.0, self.receive_heartbeat)
+        self.heartbeat_number += 1
+        if response is None or now - sent >= 4.0:
+            self.controller_index += 1
+            self.world.clock.after(1.0, self.send_heartbeat)
             return
         rng = self.world.rng
-        pause = REPORT_S * rng.uniform(0.75, 1.25)
-        if session == self.session and answer.token >= self.token:
-            if answer.token > self.token:
+        pause = HEARTBEAT_S * rng.uniform(0.75, 1.25)
+        if agent_epoch == self.agent_epoch and response.token >= self.token:
+            if response.token > self.token:
                 pause = 0.5
-            self.token = answer.token
-            self.lease_from = max(self.lease_from, sent)
-            self.execute(answer.orders)
-        self.world.clock.after(pause, self.receive_heartbeat)
+            self.token = response.token
+            self.lease_renewed_at = max(self.lease_renewed_at, sent)
+            self.execute(response.orders)
+        self.world.clock.after(pause, self.send_heartbeat)
 
     def direct(self, call: DirectCommand) -> Heartbeat:
-        if call.token >= self.token and call.agent_epoch == self.session:
+        if call.token >= self.token and call.agent_epoch == self.agent_epoch:
             self.token = call.token
             self.execute(call.orders)
-        return self.report()
+        return self.heartbeat()
 
     def execute(self, orders: tuple[Order, ...]) -> None:
         for order in orders:
@@ -167,12 +169,12 @@
             if isinstance(order, StartOrder):
                 self.start(key)
             elif key in self.tasks:
-                held = self.tasks[key]
+                worker_task = self.tasks[key]
                 if isinstance(order, ClearOrder):
-                    assert held.state == "exited", "only exited tasks are cleared"
+                    assert worker_task.state == "exited", "only exited tasks are cleared"
                     del self.tasks[key]
-                elif held.state != "exited":
-                    held.state, held.cause = "exited", "stopped"
+                elif worker_task.state != "exited":
+                    worker_task.state, worker_task.cause = "exited", "stopped"
 
     def start(self, key: tuple[TaskId, int]) -> None:
         if key in self.tasks:
@@ -180,41 +182,43 @@
         task, attempt = key
         spec = self.world.specs.get(task.job)
         if spec is None or task.number >= spec.tasks:
-            self.tasks[key] = Task(attempt, "exited", "no_such")
+            self.tasks[key] = WorkerTask(attempt, "exited", "no_such")
             return
-        at_work = [t for t, held in self.tasks.items() if held.state != "exited"]
+        at_work = [t for t, worker_task in self.tasks.items() if worker_task.state != "exited"]
         used = sum(self.world.specs[t.job].cpus for t, _ in at_work)
         if any(t == task for t, _ in at_work):
-            self.tasks[key] = Task(attempt, "exited", "busy")
-        elif used + spec.cpus > self.kind.cpus:
-            self.tasks[key] = Task(attempt, "exited", "no_room")
+            self.tasks[key] = WorkerTask(attempt, "exited", "busy")
+        elif used + spec.cpus > self.machine_type.cpus:
+            self.tasks[key] = WorkerTask(attempt, "exited", "no_room")
         else:
             self.world.rules.check_start(self, task, spec)
             if spec.shape is Shape.GANG:
                 self.world.gangs.check_gang(task, attempt, spec)
-            held = self.tasks[key] = Task(attempt, "fetching")
-            self.world.clock.after(0.5, lambda: self.step_task(key, held))
+            worker_task = self.tasks[key] = WorkerTask(attempt, "fetching")
+            self.world.clock.after(0.5, lambda: self.step_task(key, worker_task))
 
-    def step_task(self, key: tuple[TaskId, int], held: Task) -> None:
-        if self.gone or self.tasks.get(key) is not held or held.state == "exited":
+    def step_task(self, key: tuple[TaskId, int], worker_task: WorkerTask) -> None:
+        if self.dead or self.tasks.get(key) is not worker_task or worker_task.state == "exited":
             return
         if self.hung:
-            self.when_awake(lambda: self.step_task(key, held))
+            self.when_awake(lambda: self.step_task(key, worker_task))
             return
         spec = self.world.specs[key[0].job]
-        if held.state == "fetching" and key[0] not in self.world.results:
+        if worker_task.state == "fetching" and key[0] not in self.world.results:
             if spec.shape is Shape.GANG:
-                held.state, held.since = "waiting", self.world.clock.now
-                self.world.gangs.gather(key[0].job, held.attempt)
+                worker_task.state, worker_task.since = "waiting", self.world.clock.now
+                self.world.gangs.gather(key[0].job, worker_task.attempt)
                 return
-            held.state = "running"
+            worker_task.state = "running"
             speed = self.world.rng.uniform(0.5, 1.5)
-            self.world.clock.after(spec.estimate_s * speed, lambda: self.step_task(key, held))
+            self.world.clock.after(
+                spec.estimate_s * speed, lambda: self.step_task(key, worker_task)
+            )
             return
-        held.state = "exited"
+        worker_task.state = "exited"
         if self.faulty or spec.job_class == "broken":
-            held.cause = "error"
+            worker_task.cause = "error"
         else:
-            held.cause = "done"
+            worker_task.cause = "done"
             self.world.results.add(key[0])
             self.world.users.task_done(key[0])
--- a/tests/world/worker_calls.py
+++ b/tests/world/worker_calls.py
@@ -1,4 +1,4 @@
-"""What workers and controllers send each other, on a network that fails."""
+"""Messages between workers and controllers, over a network that fails."""
 
 from __future__ import annotations
 
@@ -17,45 +17,47 @@
 
 
 class WorkerCalls:
-    """What workers and controllers send each other, on a network that fails."""
+    """Messages between workers and controllers, over a network that fails."""
 
     def __init__(self, world: World) -> None:
         self.world = world
 
-    def deliver_check_in(
-        self, worker: str, member: str, report: Heartbeat, answered: Callable[[Any], None]
+    def deliver_heartbeat(
+        self, worker: str, member: str, heartbeat: Heartbeat, answered: Callable[[Any], None]
     ) -> None:
         def answer(result: Any) -> None:
             orders = result if isinstance(result, HeartbeatResponse) else None
             self.world.network.send(member, worker, lambda: answered(orders))
 
-        if worker in self.world.mute:
+        if worker in self.world.silenced:
             self.world.clock.after(0.5, lambda: answered(None))
             return
-        if self.world.rng.random() < self.world.copies:
-            # The copy may come to another controller, and to one of a later term.
+        if self.world.rng.random() < self.world.duplicates:
+            # The copy may reach another controller, or one of a later term.
             other = self.world.rng.choice(MEMBERS)
             late = self.world.rng.choice((0.5, 3.0, 12.0, 40.0))
-            self.world.clock.after(late, lambda: self.hear_report(other, report, void))
+            self.world.clock.after(late, lambda: self.receive_heartbeat(other, heartbeat, void))
         if not self.world.network.send(
-            worker, member, lambda: self.hear_report(member, report, answer)
+            worker, member, lambda: self.receive_heartbeat(member, heartbeat, answer)
         ):
             self.world.clock.after(0.01, lambda: answered(None))
 
-    def hear_report(self, member: str, report: Heartbeat, answer: Callable[[Any], None]) -> None:
+    def receive_heartbeat(
+        self, member: str, heartbeat: Heartbeat, answer: Callable[[Any], None]
+    ) -> None:
         process = self.world.processes[member]
         if process is None:
             return
         leader = process.controller.election.leader
         if process.controller.leader is not None:
-            self.world.ask(member, lambda n: HeartbeatReceived(n, report), answer)
+            self.world.request(member, lambda n: HeartbeatReceived(n, heartbeat), answer)
         elif leader is None or leader == member:
             answer(None)
         else:
-            self.relay(member, leader, report, answer)
+            self.relay(member, leader, heartbeat, answer)
 
     def relay(
-        self, member: str, leader: str, report: Heartbeat, answer: Callable[[Any], None]
+        self, member: str, leader: str, heartbeat: Heartbeat, answer: Callable[[Any], None]
     ) -> None:
         sent = self.world.clock.now
 
@@ -66,31 +68,31 @@
         self.world.network.send(
             member,
             leader,
-            lambda: self.world.ask(
+            lambda: self.world.request(
                 leader,
-                lambda n: HeartbeatReceived(n, report, relayed=True),
+                lambda n: HeartbeatReceived(n, heartbeat, relayed=True),
                 lambda result: void(
                     self.world.network.send(leader, member, lambda: returned(result))
                 ),
             ),
         )
 
-    def direct(self, member: str, call: DirectCommand, back: Callable[..., None]) -> None:
+    def direct(self, member: str, call: DirectCommand, reply: Callable[..., None]) -> None:
         state = {"open": True}
 
-        def close(report: Heartbeat | None, perhaps: bool) -> None:
+        def close(heartbeat: Heartbeat | None, perhaps: bool) -> None:
             if state["open"]:
                 state["open"] = False
-                back(DirectReply(report, perhaps))
+                reply(DirectReply(heartbeat, perhaps))
 
         def execute() -> None:
-            self.execute_direct(member, call, lambda report: close(report, True))
+            self.execute_direct(member, call, lambda heartbeat: close(heartbeat, True))
 
-        if self.world.copies and self.world.rng.random() < self.world.copies:
-            # Carried out, and repeated later.
+        if self.world.duplicates and self.world.rng.random() < self.world.duplicates:
+            # Carried out now, and once more later.
             self.world.clock.after(self.world.rng.choice((0.5, 3.0, 12.0, 40.0)), execute)
         if self.world.rng.random() < self.world.flaky:
-            # Held up on the way: executed late, and so perhaps after other orders.
+            # Delayed: carried out late, and so perhaps after other commands.
             self.world.clock.after(self.world.rng.choice((0.5, 6.0, 40.0)), execute)
         elif call.address in self.world.no_direct:
             self.world.clock.after(0.8, lambda: close(None, self.world.rng.random() < 0.5))
@@ -101,14 +103,14 @@
     def execute_direct(
         self, member: str, call: DirectCommand, answer: Callable[[Heartbeat], None]
     ) -> None:
-        """The worker does what it is told, now or when it wakes; its answer may be lost."""
+        """The worker carries it out, now or when it stops hanging; its reply may be lost."""
         worker = self.world.workers.get(call.address)
-        if worker is None or worker.gone or not worker.up:
+        if worker is None or worker.dead or not worker.up:
             return
 
         def act() -> None:
-            report = worker.direct(call)
+            heartbeat = worker.direct(call)
             if self.world.rng.random() >= self.world.flaky:
-                self.world.network.send(call.address, member, lambda: answer(report))
+                self.world.network.send(call.address, member, lambda: answer(heartbeat))
 
         worker.when_awake(act)
