--- a/src/crosscleat/core/capacity/capacity_targets.py
+++ b/src/crosscleat/core/capacity/capacity_targets.py
@@ -52,7 +52,7 @@
         self.on_demand_only.sample(use.on_demand_only, now)
 
     def warm_cpus(self) -> float:
-        """Capacity to keep in all: the mean demand, its variation, and room for an urgent job.
+        """Capacity to keep in all: the mean demand, and its variation or a large urgent job.
 
         Not the present demand: a machine rented for a burst is up when most of it has passed,
         and costs at least a minute.
--- a/src/crosscleat/core/capacity/demand.py
+++ b/src/crosscleat/core/capacity/demand.py
@@ -19,7 +19,7 @@
 
 
 class Demand:
-    """Samples of the CPUs that one kind of work asks for, and the sizes of its jobs."""
+    """Samples of the CPUs that a class of work asks for, and the sizes of its jobs."""
 
     def __init__(self) -> None:
         self._samples: deque[tuple[Seconds, float]] = deque()
--- a/src/crosscleat/core/capacity/interruptions.py
+++ b/src/crosscleat/core/capacity/interruptions.py
@@ -4,13 +4,14 @@
 
 import math
 
+from ..model.cloud import HOUR_S
 from ..model.ids import Seconds
 from ..scheduling.scoring import Scorer
 from ..state.jobs import Job
 
 PRIOR_UPTIME_S = 1800.0
 
-PRIOR_RATE_PER_S = 1.0 / 3600.0
+PRIOR_RATE_PER_S = 1.0 / HOUR_S
 """The rate until more was observed: one an hour, as if seen on one machine for half an hour."""
 
 MAX_AT_ONCE = 2
--- a/src/crosscleat/core/capacity/machine_watch.py
+++ b/src/crosscleat/core/capacity/machine_watch.py
@@ -19,7 +19,7 @@
 """A machine that is not up after four times its usual boot and this time never boots."""
 
 UNLISTED_S = 2.0
-"""A machine that only a record names is given up so long after the silence that ends others: by
+"""A machine that only a record names is deleted so long after the silence for which others are: by
 then the list has been read."""
 
 
@@ -28,10 +28,10 @@
 
     @property
     def silent_s(self) -> float:
-        """Silence after which a machine is given up."""
+        """Silence after which a machine is deleted."""
 
     def silent(self, machine: Machine, now: Seconds) -> bool:
-        """Whether to give the machine up for its silence."""
+        """Whether to delete the machine for its silence."""
 
 
 class AttemptEnds(Protocol):
--- a/src/crosscleat/core/capacity/machines.py
+++ b/src/crosscleat/core/capacity/machines.py
@@ -140,7 +140,7 @@
         self._tombstones[machine.id] = self._term.now
 
     def forget_old_tombstones(self, now: Seconds) -> None:
-        """Forget the machines that were deleted so long ago that no heartbeat is under way."""
+        """Forget machines that were deleted too long ago for a heartbeat to arrive still."""
         old = [
             machine_id
             for machine_id, deleted_at in self._tombstones.items()
--- a/src/crosscleat/core/capacity/scaling.py
+++ b/src/crosscleat/core/capacity/scaling.py
@@ -6,6 +6,7 @@
 from typing import Protocol
 
 from ..election.term import LeadingTerm
+from ..model.cloud import HOUR_S
 from ..model.cloud_calls import Rent, RentalOutcome, RentalUnanswered, Rented
 from ..model.ids import JobRef, MachineId, Seconds
 from ..scheduling.scoring import Scorer
@@ -90,7 +91,8 @@
         self._scale_in(machines, now)
 
     def _scale_out(self, machines: list[Machine], now: Seconds) -> None:
-        rate_per_s = sum(one.type.price_for(one.spot) for one in machines) / 3600.0
+        """Request the next rental, unless one is pending or the budget holds it back."""
+        rate_per_s = sum(one.type.price_for(one.spot) for one in machines) / HOUR_S
         budget = self._charged_budget(rate_per_s, now)
         jobs = [job for job in self._jobs.values() if not job.cancelled]
         teams = self._term.deployment.teams
@@ -120,6 +122,7 @@
             job.at_risk = not job.cancelled and self._interruptions.at_risk(job, self._scorer, now)
 
     def _cpu_use(self) -> CpuUse:
+        """What is used and asked for, by the kinds of work that capacity is kept for."""
         return CpuUse(
             by_team=self._cluster.team_cpus,
             at_risk=self._cpus_of(lambda job: job.at_risk),
@@ -165,11 +168,12 @@
         deployment = self._term.deployment
         cpus = sum(limits.cpus for limits in deployment.teams.values())
         tuning = deployment.tuning
-        return tuning.budget_factor * cpus * per_cpu * tuning.period_s / 3600.0
+        return tuning.budget_factor * cpus * per_cpu * tuning.period_s / HOUR_S
 
     def _rate_per_s(self, request: ScaleOutRequest) -> float:
+        """Price per second of the requested machines."""
         machine_type = self._fleet.types[request.pool.type]
-        return machine_type.price_for(request.pool.spot) * request.count / 3600.0
+        return machine_type.price_for(request.pool.spot) * request.count / HOUR_S
 
     def _waiting_cost(self, jobs: Iterable[Job]) -> float:
         """Cost of all waiting tasks on on-demand machines of the type whose CPUs cost most."""
--- a/src/crosscleat/core/model/cloud.py
+++ b/src/crosscleat/core/model/cloud.py
@@ -9,6 +9,9 @@
 from .ids import MachineId, TypeName, Zone
 from .job_spec import JobSpec
 
+HOUR_S = 3600.0
+"""Prices are per hour."""
+
 
 @dataclass(frozen=True, slots=True)
 class MachineType:
