--- a/src/crosscleat/core/control/assembly.py
+++ b/src/crosscleat/core/control/assembly.py
@@ -126,6 +126,16 @@
     planning = _planning_parts(state, machines, rng)
     workers = _worker_parts(state, machines, planning.evacuation)
     jobs = _job_parts(state, machines.attempts, wall)
+    return _joined(state, machines, planning, workers, jobs)
+
+
+def _joined(
+    state: _State,
+    machines: _MachineParts,
+    planning: _PlanningParts,
+    workers: _WorkerParts,
+    jobs: _JobParts,
+) -> Leader:
     return Leader(
         term=state.term,
         jobs=state.jobs,
--- a/src/crosscleat/core/control/controller.py
+++ b/src/crosscleat/core/control/controller.py
@@ -157,7 +157,7 @@
 
     def _shard_proposed(self, proposed: ShardProposed) -> None:
         if self.leader is not None:
-            self.leader.scheduler.proposed(proposed.member, proposed.proposal, self._now)
+            self.leader.scheduler.commit_proposal(proposed.member, proposed.proposal, self._now)
 
     def _peer_unreachable(self, peer: PeerUnreachable) -> None:
         self.election.revoke_leader_lease(peer.member)
--- a/src/crosscleat/core/control/scheduler.py
+++ b/src/crosscleat/core/control/scheduler.py
@@ -143,7 +143,7 @@
             now,
         )
 
-    def proposed(self, member: Member, proposal: ShardProposal, now: Seconds) -> None:
+    def commit_proposal(self, member: Member, proposal: ShardProposal, now: Seconds) -> None:
         """Commit a shard owner's assignments as far as possible, if they are not outdated."""
         assignments = self._shards.accept(member, proposal)
         if assignments is None:
--- a/tests/test_partitioning.py
+++ b/tests/test_partitioning.py
@@ -103,7 +103,7 @@
     leader.finish_step(term.now)
     assert [one.placed_count() for one in leader.jobs.values()] == [1, 1]
     # Once it has been in time it is waited for, though not for long.
-    leader.scheduler.proposed(Member("c1"), ShardProposal(part.view.number, ()), term.now)
+    leader.scheduler.commit_proposal(Member("c1"), ShardProposal(part.view.number, ()), term.now)
     fresh, late = refs_of("c1", 4)[2:]
     leader.apply_job_changes([live(fresh)], term.now)
     term.step(5.1)
@@ -127,14 +127,14 @@
     number = next(e for e in term.out.take() if isinstance(e, ShardRequest)).view.number
     here = MachineId("m-0")
     outdated = ShardProposal(number - 1, ((JobRef(mine[0]), here),))
-    leader.scheduler.proposed(Member("c1"), outdated, term.now)
+    leader.scheduler.commit_proposal(Member("c1"), outdated, term.now)
     assert leader.jobs[JobRef(mine[0])].placed_count() == 0
     assignments = ((JobRef(mine[0]), here), (JobRef(others[0]), here), (JobRef("job-gone"), here),
                (JobRef(mine[1]), MachineId("m-gone")))  # fmt: skip
-    leader.scheduler.proposed(Member("c1"), ShardProposal(number, assignments), term.now)
+    leader.scheduler.commit_proposal(Member("c1"), ShardProposal(number, assignments), term.now)
     placed = {ref: leader.jobs[JobRef(ref)].placed_count() for ref in (*mine, *others)}
     assert placed == {mine[0]: 1, mine[1]: 0, others[0]: 0}, "others' jobs are not its to place"
-    leader.scheduler.proposed(Member("c1"), ShardProposal(number, assignments), term.now)
+    leader.scheduler.commit_proposal(Member("c1"), ShardProposal(number, assignments), term.now)
     assert leader.jobs[JobRef(mine[0])].placed_count() == 1, "a repeat has no effect"
 
 
--- /dev/null
+++ b/tests/test_retries.py
@@ -0,0 +1,89 @@
+"""Pauses before the next attempt, and machines on which several jobs fail."""
+
+from __future__ import annotations
+
+import pytest
+
+from crosscleat.core.control.retries import (
+    ENDED_PAUSE_S,
+    FULL_PAUSE_S,
+    MAX_FAILED_PAUSE_S,
+    REFUSED_PAUSE_S,
+    Retries,
+)
+from crosscleat.core.model.heartbeats import (
+    ERROR,
+    GANG_MEMBER_LOST,
+    INCOMPLETE,
+    NO_ROOM,
+    STOPPED,
+)
+from crosscleat.core.model.ids import JobRef, MachineId, Seconds, Version, Zone
+from crosscleat.core.model.job_spec import Shape
+from crosscleat.core.state.jobs import Job
+from crosscleat.core.state.machine import Machine
+
+from .term import BEGAN, Term
+from .world import TYPES, job
+
+
+def machine_of(number: int) -> Machine:
+    return Machine(MachineId(f"m-{number}"), TYPES[0], Zone("a"), spot=False)
+
+
+def job_of(number: int, shape: Shape = Shape.ARRAY) -> Job:
+    return Job(job(f"job-{number}", shape=shape), Version(1), Seconds(0.0))
+
+
+def retries_of(*jobs: Job) -> Retries:
+    return Retries(Term().leader.term, {JobRef(job.ref): job for job in jobs})
+
+
+@pytest.mark.parametrize("cause", [None, STOPPED, GANG_MEMBER_LOST, INCOMPLETE])
+def test_a_task_that_is_not_to_blame_is_placed_again_at_once(cause: str | None) -> None:
+    one = job_of(1)
+
+    assert retries_of(one).not_before(machine_of(0), one, 0, cause) is None
+
+
+def test_a_task_that_ended_for_an_unknown_cause_pauses() -> None:
+    one = job_of(1)
+
+    assert retries_of(one).not_before(machine_of(0), one, 0, "odd") == BEGAN + ENDED_PAUSE_S
+
+
+def test_a_refused_task_pauses_briefly_and_the_full_machine_for_longer() -> None:
+    one, machine = job_of(1), machine_of(0)
+
+    assert retries_of(one).not_before(machine, one, 0, NO_ROOM) == BEGAN + REFUSED_PAUSE_S
+    assert machine.full_until == BEGAN + FULL_PAUSE_S
+
+
+def test_a_refused_gang_member_is_placed_again_at_once_as_the_others_may_wait() -> None:
+    gang, machine = job_of(1, Shape.GANG), machine_of(0)
+
+    assert retries_of(gang).not_before(machine, gang, 0, NO_ROOM) is None
+    assert machine.full_until == BEGAN + FULL_PAUSE_S
+
+
+def test_pauses_double_with_each_failure_up_to_a_limit() -> None:
+    one = job_of(1)
+    retries = retries_of(one)
+
+    pauses = [
+        (retries.not_before(machine_of(number), one, 0, ERROR) or BEGAN) - BEGAN
+        for number in range(9)
+    ]
+
+    assert pauses == [1.0, 2.0, 4.0, 8.0, 16.0, 32.0, *[MAX_FAILED_PAUSE_S] * 3]
+
+
+def test_a_machine_is_quarantined_once_two_jobs_failed_on_it() -> None:
+    one, other, machine = job_of(1), job_of(2), machine_of(0)
+    retries = retries_of(one, other)
+
+    retries.not_before(machine, one, 0, ERROR)
+    retries.not_before(machine, one, 1, ERROR)
+    assert not machine.quarantined
+    retries.not_before(machine, other, 0, ERROR)
+    assert machine.quarantined
