--- a/src/crosscleat/adapters/state_client.py
+++ b/src/crosscleat/adapters/state_client.py
@@ -21,15 +21,15 @@
     Commit,
     Committed,
     Conflict,
-    Found,
     GrantLease,
     Item,
-    Listing,
     NoSuchLease,
     Read,
+    ReadResult,
     RenewLease,
     RevokeLease,
     Scan,
+    ScanResult,
     Watch,
     WatchResult,
 )
@@ -103,7 +103,7 @@
         """Users are told to come back rather than kept waiting."""
         return self._connection.is_down() or not self._reads.try_take(1.0)
 
-    async def read(self, call: Read) -> Found | None:
+    async def read(self, call: Read) -> ReadResult | None:
         """One key; None: no answer."""
         if call.for_user and self._refuses_user_read():
             return None
@@ -114,13 +114,13 @@
             return None
         if response.status == 200:
             item = _decode(wire.decode_item, response.body)
-            return None if item is None else Found(item, item.version)
+            return None if item is None else ReadResult(item, item.version)
         if response.status == 404:
             revision = _decode(wire.decode_revision, response.body)
-            return None if revision is None else Found(None, revision)
+            return None if revision is None else ReadResult(None, revision)
         return None
 
-    async def scan(self, call: Scan) -> Listing | None:
+    async def scan(self, call: Scan) -> ScanResult | None:
         """All keys with the prefix, page by page; None: no answer."""
         if call.for_user and self._refuses_user_read():
             return None
@@ -141,7 +141,7 @@
                 first_revision = page.revision
             items.extend(page.items)
             if not page.more or not page.items:
-                return Listing(items, first_revision)
+                return ScanResult(items, first_revision)
             after = page.items[-1].key
 
     async def watch(self, call: Watch) -> WatchResult | None:
--- a/src/crosscleat/core/capacity/deletions.py
+++ b/src/crosscleat/core/capacity/deletions.py
@@ -64,12 +64,12 @@
             machine
             for machine in self._cluster.machines.values()
             if machine.decommission_recorded
-            and (machine.delete_sent is None or now - machine.delete_sent > REPEAT_S)
+            and (machine.deletion_sent_at is None or now - machine.deletion_sent_at > REPEAT_S)
         ][:MAX_DELETED]
         if not ready:
             return
         for machine in ready:
-            machine.delete_sent = now
+            machine.deletion_sent_at = now
         names = tuple(machine.id for machine in ready)
         self._term.outbox.add(DeleteMachines(names, lambda done: self._receive(ready, done)))
 
@@ -82,7 +82,7 @@
             if done:
                 self._confirmed(machine, now)
             else:
-                machine.delete_sent = Seconds(now - (REPEAT_S - REPEAT_FAILED_S))
+                machine.deletion_sent_at = Seconds(now - (REPEAT_S - REPEAT_FAILED_S))
 
     def _confirmed(self, machine: Machine, now: Seconds) -> None:
         for allocation in list(machine.allocations.values()):
@@ -106,7 +106,7 @@
             if now - deleted_at <= DECOMMISSION_RECORD_S:
                 break
             self._recorded.popleft()
-            empty = self._records.forget(machine_id)
+            empty = self._records.remove_name(machine_id)
             if empty is not None and empty.version:
                 obsolete.append((empty.key, empty.version))
         return obsolete
--- a/src/crosscleat/core/capacity/fleet.py
+++ b/src/crosscleat/core/capacity/fleet.py
@@ -113,9 +113,9 @@
         A gang needs capacity for all its tasks at one time, which seldom becomes free by itself.
         """
         spec = job.spec
-        if job.gang:
+        if job.is_gang:
             return True
-        if not any(one.type.has_capacity_for(spec) and one.allowed(spec) for one in usable):
+        if not any(one.type.has_capacity_for(spec) and one.allows(spec) for one in usable):
             return True
         boot_s = min(
             (found.boot_s for found in self.types.values() if found.has_capacity_for(spec)),
@@ -172,7 +172,11 @@
         The most expensive come first. They are idle, or expensive and kept in use by backfill
         alone.
         """
-        usable = [one for one in machines if one.up and not one.decommissioning and not one.surplus]
+        usable = [
+            one
+            for one in machines
+            if one.has_sent_heartbeat and not one.decommissioning and not one.surplus
+        ]
         capacity = sum(machine.type.cpus for machine in usable)
         unneeded = sorted(
             (
--- a/src/crosscleat/core/capacity/machine_list.py
+++ b/src/crosscleat/core/capacity/machine_list.py
@@ -85,7 +85,7 @@
             machine = self._machines.enter_listed(entry)
             if entry.state == "failed":
                 self._decommissioner.decommission(machine, "failed")
-            if machine.listed_running and not machine.up:
+            if machine.listed_as_running and not machine.has_sent_heartbeat:
                 unreported.append(machine)
         # They may report to another controller or late: those with the most free capacity are asked
         # first, as work may wait for it.
@@ -101,9 +101,9 @@
         quiet_s = self._liveness.quiet_s
         for machine in self._cluster.machines.values():
             if (
-                machine.listed
+                machine.listed_by_cloud
                 and machine.id not in listed
                 and now - machine.created_at > LISTED_BY_S
-                and now - machine.last_heard > quiet_s
+                and now - machine.last_heartbeat_at > quiet_s
             ):
                 self._decommissioner.decommission(machine, "no longer listed")
--- a/src/crosscleat/core/capacity/machine_watch.py
+++ b/src/crosscleat/core/capacity/machine_watch.py
@@ -60,7 +60,7 @@
         """End its attempts if its lease has expired; return it if it is silent, drained or late."""
         self._end_expired_lease(machine, now)
         busy = bool(machine.allocations or machine.exited or machine.orphans)
-        if busy or not machine.up:
+        if busy or not machine.has_sent_heartbeat:
             machine.idle_since = None
         elif machine.idle_since is None:
             machine.idle_since = now
@@ -68,14 +68,14 @@
             return
         if machine.booted and self._liveness.silent(machine, now):
             machine.deleted_for_silence = True
-            silent_s = now - machine.last_heard
+            silent_s = now - machine.last_heartbeat_at
             self._decommissioner.decommission(machine, f"silent for {silent_s:.0f} s")
         elif (reason := self._reason_to_return(machine, now)) is not None:
             self._decommissioner.decommission(machine, reason)
 
     def _reason_to_return(self, machine: Machine, now: Seconds) -> str | None:
         """Why to return a machine that is not silent for too long; None: it stays."""
-        if machine.up:
+        if machine.has_sent_heartbeat:
             return "drained" if machine.draining and not machine.allocations else None
         if machine.booted:
             # It runs and has not reported in this term: perhaps it can't reach a controller.
@@ -92,6 +92,6 @@
 
     def _end_expired_lease(self, machine: Machine, now: Seconds) -> None:
         lease_s = self._term.deployment.lease_s * CLOCK_DRIFT + LEASE_SLACK_S
-        if machine.allocations and now > machine.last_answer + lease_s:
+        if machine.allocations and now > machine.last_possible_renewal + lease_s:
             for allocation in list(machine.allocations.values()):
                 self._attempts.ended(machine, allocation)
--- a/src/crosscleat/core/capacity/machines.py
+++ b/src/crosscleat/core/capacity/machines.py
@@ -53,7 +53,7 @@
             return
         machine = Machine(machine_id, self._types[pool.type], pool.zone, pool.spot)
         self._enter(machine)
-        machine.confirmed = True
+        machine.confirmed_in_term = True
 
     def enter_reported(self, heartbeat: Heartbeat) -> Machine:
         """The machine that sent the heartbeat."""
@@ -66,8 +66,8 @@
     def enter_listed(self, entry: ListedMachine) -> Machine:
         """The machine that the cloud's list names."""
         machine = self._enter_described(entry.id, entry.type, entry.zone, entry.spot)
-        machine.listed = True
-        machine.listed_running |= entry.state == "running"
+        machine.listed_by_cloud = True
+        machine.listed_as_running |= entry.state == "running"
         machine.address = machine.address or entry.address
         machine.created_at = min(machine.created_at, Seconds(self._term.now - entry.age_s))
         return machine
@@ -83,10 +83,10 @@
 
     def _enter(self, machine: Machine) -> Machine:
         term = self._term
-        machine.created_at = machine.last_heard = term.now
+        machine.created_at = machine.last_heartbeat_at = term.now
         machine.pending_start_token = term.began_token - 1
         # An earlier leader renewed no lease later than this after our election.
-        machine.last_answer = Seconds(term.began + term.renewal_window_s() * CLOCK_DRIFT)
+        machine.last_possible_renewal = Seconds(term.began + term.renewal_window_s() * CLOCK_DRIFT)
         self._cluster.machines[machine.id] = machine
         return machine
 
@@ -117,15 +117,16 @@
         """Whether tasks may be placed on it."""
         interval_s = self._term.deployment.heartbeat_interval_s
         return (
-            machine.up
+            machine.has_sent_heartbeat
             and not machine.decommissioning
             and not machine.draining
             and not machine.orphans
-            and machine.full_until <= now
+            and machine.placement_paused_until <= now
             and machine.type is not UNKNOWN_TYPE
-            and machine.confirmed
+            and machine.confirmed_in_term
             and machine.unresponsive_since is None
-            and now - machine.last_heard < HEARTBEAT_INTERVALS * interval_s + HEARTBEAT_SLACK_S
+            and now - machine.last_heartbeat_at
+            < HEARTBEAT_INTERVALS * interval_s + HEARTBEAT_SLACK_S
         )
 
     # Deleted ones
--- a/src/crosscleat/core/capacity/pool_catalog.py
+++ b/src/crosscleat/core/capacity/pool_catalog.py
@@ -56,7 +56,7 @@
 
     Every backfill job starts in the end, but goes on only on capacity that is idle or inexpensive.
     """
-    return job.backfill and job.begun
+    return job.backfill and job.ever_placed
 
 
 class PoolCatalog:
--- a/src/crosscleat/core/capacity/scaling.py
+++ b/src/crosscleat/core/capacity/scaling.py
@@ -114,7 +114,9 @@
 
     def _update_risks(self, now: Seconds) -> None:
         """Judge which jobs the loss of a spot machine would make late; it changes with age."""
-        spot_machines = sum(1 for m in self._cluster.machines.values() if m.up and m.spot)
+        spot_machines = sum(
+            1 for m in self._cluster.machines.values() if m.has_sent_heartbeat and m.spot
+        )
         elapsed_s = min(ADJUST_S, now - self._risks_updated_at)
         self._interruptions.record_uptime(elapsed_s, spot_machines)
         self._risks_updated_at = now
--- a/src/crosscleat/core/capacity/unplaced_work.py
+++ b/src/crosscleat/core/capacity/unplaced_work.py
@@ -108,7 +108,7 @@
 
     def _candidates_for(self, job: Job, count: int) -> list[FreeCapacity]:
         """For a gang that must be in one zone: a zone that has capacity for all, if any has."""
-        if not (job.gang and job.spec.one_zone):
+        if not (job.is_gang and job.spec.one_zone):
             return self._candidates
         zones: dict[Zone, list[FreeCapacity]] = {}
         for free in self._candidates:
@@ -126,6 +126,6 @@
     return (
         spec.cpus <= free.cpus + ROUNDING
         and spec.memory_gb <= free.memory_gb + ROUNDING
-        and free.machine.allowed(spec)
+        and free.machine.allows(spec)
         and free.machine.id not in job.failed_on
     )
--- a/src/crosscleat/core/control/attempts.py
+++ b/src/crosscleat/core/control/attempts.py
@@ -46,7 +46,7 @@
         allocation.stopping = True
         allocation.grace_s = grace_s
         self._pending.send_soon(machine.id)
-        if not allocation.listed and not machine.may_still_start(allocation):
+        if not allocation.in_last_heartbeat and not machine.may_still_start(allocation):
             self.ended(machine, allocation)
 
     def preempt(self, machine: Machine, allocation: Allocation) -> None:
@@ -57,7 +57,7 @@
     def stop_gang(self, job: Job, grace_s: float) -> None:
         """Stop all members of a gang; they are placed again together once all have ended."""
         self._pending.incomplete_gangs.pop(job.ref, None)
-        job.progress.stops(self._term.now)
+        job.progress.mark_stopping(self._term.now)
         to_stop = [
             (machine, allocation)
             for machine, allocation in self._cluster.allocations_of(job)
@@ -80,14 +80,14 @@
             return
         now = self._term.now
         job.idle_since = now
-        self._placement_records.of(job, job.chunk_of(number)).want(None, now)
-        if cause == heartbeats.DONE or (job.gang and job.done_count):
+        self._placement_records.record_for(job, job.chunk_of(number)).mark_changed(None, now)
+        if cause == heartbeats.DONE or (job.is_gang and job.done_count):
             self._finish(job, number)
         elif job.cancelled:
             job.requeue(number, None)
             self._pending.record_end_if_over(job)
         else:
-            if job.gang:
+            if job.is_gang:
                 self._gang_member_lost(job, number, machine, cause)
             job.requeue(number, self._retries.not_before(machine, job, number, cause))
 
@@ -98,7 +98,7 @@
         result too, or after it with their machine.
         """
         job.finish(number)
-        if job.gang:
+        if job.is_gang:
             job.finish_unplaced()
         self._pending.record_end_if_over(job)
 
--- a/src/crosscleat/core/control/commands.py
+++ b/src/crosscleat/core/control/commands.py
@@ -94,7 +94,7 @@
         may_start = self._term.may_start(now)
         for allocation in machine.allocations.values():
             if allocation.stopping:
-                if allocation.listed:
+                if allocation.in_last_heartbeat:
                     orders.append(
                         StopOrder(str(allocation.task), allocation.attempt, allocation.grace_s)
                     )
@@ -102,9 +102,9 @@
                     self._want_rotation(machine)
             elif may_start and self._is_startable(machine, allocation):
                 orders.append(StartOrder(str(allocation.task), allocation.attempt))
-                allocation.sent = True
+                allocation.start_sent = True
                 if answering is not None:
-                    allocation.answered_at = answering
+                    allocation.start_sent_at_sequence = answering
         for task, attempt in machine.orphans:
             orders.append(StopOrder(str(task), attempt, 0.0))
         orders.extend(
@@ -118,7 +118,7 @@
         """Whether the attempt is on record and the worker's agent epoch is the one it is for."""
         if (
             not allocation.recorded
-            or allocation.listed
+            or allocation.in_last_heartbeat
             or allocation.agent_epoch != machine.heartbeat_id.agent_epoch
         ):
             return False
@@ -128,7 +128,9 @@
         complete = self._gangs_complete.get(allocation.task.job)
         if complete is None:
             job = self._jobs.get(allocation.task.job)
-            complete = self._gangs_complete[allocation.task.job] = job is not None and job.whole
+            complete = self._gangs_complete[allocation.task.job] = (
+                job is not None and job.fully_recorded
+            )
         return complete
 
     def _is_clearable(self, machine: Machine, key: AttemptKey) -> bool:
@@ -173,7 +175,7 @@
             if machine.direct_in_flight:
                 pending.direct_targets.add(machine_id)
                 continue
-            if now < machine.direct_after:
+            if now < machine.direct_paused_until:
                 continue
             # Clearing can wait for the next heartbeat.
             orders = tuple(
@@ -185,7 +187,11 @@
                 self._send(machine, machine.heartbeat_id.agent_epoch, orders)
 
     def _takes_direct_commands(self, machine: Machine) -> bool:
-        return machine.address is not None and machine.up and not machine.decommissioning
+        return (
+            machine.address is not None
+            and machine.has_sent_heartbeat
+            and not machine.decommissioning
+        )
 
     def send_heartbeat_requests(self) -> None:
         """Ask the next of the queued machines for a heartbeat.
@@ -197,7 +203,10 @@
         requested = 0
         while queued and requested < MAX_HEARTBEAT_REQUESTS:
             machine = queued.popleft()
-            if not (machine.up and machine.confirmed) and machine.id in self._cluster.machines:
+            if (
+                not (machine.has_sent_heartbeat and machine.confirmed_in_term)
+                and machine.id in self._cluster.machines
+            ):
                 requested += 1
                 self.request_heartbeat(machine)
 
@@ -240,15 +249,15 @@
             if self._term.retired:
                 return
             if reply.heartbeat is None:
-                machine.direct_misses += 1
-                pause = DIRECT_PAUSE_S * 2.0**machine.direct_misses
+                machine.direct_failures += 1
+                pause = DIRECT_PAUSE_S * 2.0**machine.direct_failures
                 pause = min(MAX_DIRECT_PAUSE_S, pause)
-                machine.direct_after = Seconds(self._term.now + pause)
+                machine.direct_paused_until = Seconds(self._term.now + pause)
                 self._replies.reply_missed(machine)
                 if reply.may_execute:
                     machine.pending_start_token = max(machine.pending_start_token, risked)
                 return
-            machine.direct_misses = 0
+            machine.direct_failures = 0
             self._replies.reply_received(machine, reply.heartbeat)
 
         return done
--- a/src/crosscleat/core/control/gang_control.py
+++ b/src/crosscleat/core/control/gang_control.py
@@ -7,7 +7,7 @@
 from ..scheduling.scoring import Scorer
 from ..state.allocations import Allocation
 from ..state.cluster import ClusterState
-from ..state.gangs import OnNotice, Phase, on_notice, phase_of
+from ..state.gangs import InterruptionResponse, Phase, phase_of, respond_to_notice
 from ..state.jobs import Job
 from ..state.machine import Machine
 from .attempts import Attempts
@@ -93,13 +93,13 @@
             return
         for allocation in list(machine.allocations.values()):
             job = self._jobs.get(allocation.task.job)
-            if job is not None and job.gang and not job.cancelled and not allocation.replaced:
+            if job is not None and job.is_gang and not job.cancelled and not allocation.replaced:
                 self._evacuate(job, machine, allocation, machine.reclaim_at - now, now)
 
     def _evacuate(
         self, job: Job, machine: Machine, allocation: Allocation, notice_s: float, now: Seconds
     ) -> None:
-        decision = on_notice(
+        decision = respond_to_notice(
             job.spec,
             list(self._cluster.allocations_of(job)),
             self._scorer.remaining_s(job) - job.progress.ran_s(now),
@@ -108,12 +108,12 @@
             now,
         )
         match decision:
-            case OnNotice.REPLACE:
+            case InterruptionResponse.REPLACE:
                 allocation.replaced = True
                 self._attempts.stop(machine, allocation, 0.0)
-            case OnNotice.STOP_AND_SAVE:
+            case InterruptionResponse.STOP_AND_SAVE:
                 self._attempts.stop_gang(job, job.spec.save_s)
-            case OnNotice.STOP:
+            case InterruptionResponse.STOP:
                 self._attempts.stop_gang(job, 0.0)
-            case OnNotice.KEEP:
+            case InterruptionResponse.KEEP:
                 pass
--- a/src/crosscleat/core/control/heartbeat_processing.py
+++ b/src/crosscleat/core/control/heartbeat_processing.py
@@ -73,7 +73,7 @@
         elif machine is not None and not self.is_outdated(machine, heartbeat):
             self._machines.describe(machine, heartbeat.type, heartbeat.zone, heartbeat.spot)
             self.apply(machine, heartbeat, is_reply=True)
-            machine.last_heard = self._term.now
+            machine.last_heartbeat_at = self._term.now
 
     # Any heartbeat
 
@@ -102,7 +102,11 @@
         machine.update_task_list(listed)
         for key, allocation in list(machine.allocations.items()):
             self._task_statuses.reconcile(machine, allocation, listed.get(key))
-        if not is_reply and machine.confirmed and self._epochs_restarted(machine, heartbeat):
+        if (
+            not is_reply
+            and machine.confirmed_in_term
+            and self._epochs_restarted(machine, heartbeat)
+        ):
             self._decommissioner.decommission(machine, "its agent epochs start again")
         # Last: an attempt that is stopped and not listed has ended, so this heartbeat's list must
         # be in force when the notice stops attempts.
@@ -121,13 +125,13 @@
         machine.shown_token = max(machine.shown_token, heartbeat.token)
         if heartbeat.token >= self._term.began_token:
             # The worker has received something of this term: this is no copy from before it.
-            machine.confirmed = True
-        if not machine.up:
-            machine.up = True
+            machine.confirmed_in_term = True
+        if not machine.has_sent_heartbeat:
+            machine.has_sent_heartbeat = True
             self._pending.cycle_wanted = True
         if new_epoch:
             # The worker lease of an agent epoch also runs from its beginning, answered or not.
-            machine.last_answer = max(machine.last_answer, self._term.now)
+            machine.last_possible_renewal = max(machine.last_possible_renewal, self._term.now)
             machine.begin_agent_epoch()
 
     def _epochs_restarted(self, machine: Machine, heartbeat: Heartbeat) -> bool:
--- a/src/crosscleat/core/control/heartbeat_receiver.py
+++ b/src/crosscleat/core/control/heartbeat_receiver.py
@@ -47,16 +47,18 @@
         self._liveness.check_answers_arrive(machine, heartbeat, now)
         self._processing.apply(machine, heartbeat, is_reply=False)
         self._liveness.heartbeat_received(now)
-        if not machine.confirmed:
+        if not machine.confirmed_in_term:
             self._pending.queue_heartbeat_requests([machine])
         self._commands.answer(request, machine, now, heartbeat.heartbeat_id.sequence)
-        if now - machine.answered_at > ANSWERED_LEASES * self._term.deployment.lease_s:
+        if now - machine.last_response_at > ANSWERED_LEASES * self._term.deployment.lease_s:
             # Heartbeats held up by a network partition arrive all at once, long after their
             # workers stopped waiting for the answers.
-            machine.answered_from = now
-        machine.last_heard = machine.answered_at = now
+            machine.responses_unbroken_since = now
+        machine.last_heartbeat_at = machine.last_response_at = now
         shows_term = machine.shown_token >= self._term.began_token
-        machine.last_answer = now if shows_term else max(machine.last_answer, now)
+        machine.last_possible_renewal = (
+            now if shows_term else max(machine.last_possible_renewal, now)
+        )
 
     def _may_answer(self, heartbeat: Heartbeat, token: Token | None, now: Seconds) -> bool:
         """Whether our answer may renew this worker's lease."""
--- a/src/crosscleat/core/control/job_watch.py
+++ b/src/crosscleat/core/control/job_watch.py
@@ -12,7 +12,7 @@
 from ..election.term import LeadingTerm
 from ..model.effects import Delay, Outbox
 from ..model.ids import Seconds, Version
-from ..model.store_calls import Item, Listing, Scan, Watch, WatchResult
+from ..model.store_calls import Item, Scan, ScanResult, Watch, WatchResult
 from ..state.keys import DECOMMISSIONED, FORMAT, LIVE, PLACEMENTS
 
 WATCH_BLOCK_S = 1.0
@@ -29,7 +29,7 @@
 class StoredState:
     """What earlier leaders left in the store, as a takeover has read it."""
 
-    live: Listing
+    live: ScanResult
     placement_records: list[Item]
     decommission_records: list[Item]
     formats: list[Item]
@@ -53,14 +53,14 @@
         self._clock = clock
         self._still_elected = still_elected
         self._completed = completed
-        self._listings: list[Listing] = []
+        self._listings: list[ScanResult] = []
         self._read_at = clock()
 
     def begin(self) -> None:
         """Ask for the first prefix that has not been read yet."""
         self._outbox.add(Scan(TAKEOVER_PREFIXES[len(self._listings)], self._scanned))
 
-    def _scanned(self, listing: Listing | None) -> None:
+    def _scanned(self, listing: ScanResult | None) -> None:
         if not self._still_elected():
             return
         if listing is not None:
@@ -125,7 +125,7 @@
     def _read_all(self) -> None:
         """The store no longer has all changes since our revision: read the records themselves."""
 
-        def scanned(listing: Listing | None) -> None:
+        def scanned(listing: ScanResult | None) -> None:
             if self._term.retired:
                 return
             if listing is None:
--- a/src/crosscleat/core/control/leader.py
+++ b/src/crosscleat/core/control/leader.py
@@ -105,8 +105,8 @@
     def tick(self, now: Seconds) -> None:
         """Do what is due by now; called ten times a second."""
         for job in self.jobs.values():
-            if job.resting:
-                job.wake(now)
+            if job.delayed:
+                job.resume_delayed(now)
         if self.pending.incomplete_gangs:
             self.pending.cycle_wanted = True
         self.liveness.tick()
--- a/src/crosscleat/core/control/live_jobs.py
+++ b/src/crosscleat/core/control/live_jobs.py
@@ -10,7 +10,7 @@
 
 from ..model.effects import Outbox
 from ..model.ids import JobRef, Version
-from ..model.store_calls import Item, Listing, Scan, Watch, WatchResult
+from ..model.store_calls import Item, Scan, ScanResult, Watch, WatchResult
 from ..state.job_records import is_cancelled
 from ..state.keys import LIVE
 
@@ -58,7 +58,7 @@
         self._outbox.add(Watch(LIVE, after, 0.0, changes_received, for_user=True))
 
     def _read_all(self, refreshed: Callable[[bool], None]) -> None:
-        def scanned(listing: Listing | None) -> None:
+        def scanned(listing: ScanResult | None) -> None:
             if listing is not None:
                 self._cancelled.clear()
                 self._revision = listing.revision
--- a/src/crosscleat/core/control/liveness.py
+++ b/src/crosscleat/core/control/liveness.py
@@ -152,8 +152,10 @@
 
     def _agent_epoch_ended(self, machine: Machine, now: Seconds) -> None:
         answered_s = ANSWERED_LEASES * self._deployment.lease_s
-        answered = now - machine.answered_at < answered_s < now - machine.answered_from
-        if answered and machine.confirmed:
+        answered = (
+            now - machine.last_response_at < answered_s < now - machine.responses_unbroken_since
+        )
+        if answered and machine.confirmed_in_term:
             self._lost_leases.append(now)
             if not self._is_mass(len(self._lost_leases)):
                 self._decommissioner.decommission(
@@ -163,7 +165,7 @@
     def _check_starts(self, machine: Machine, heartbeat: Heartbeat, now: Seconds) -> None:
         listed = {(task.task, task.attempt) for task in heartbeat.tasks}
         start_missed = any(
-            allocation.answered_at and not allocation.stopping and key not in listed
+            allocation.start_sent_at_sequence and not allocation.stopping and key not in listed
             for key, allocation in machine.allocations.items()
         )
         if not start_missed:
@@ -191,7 +193,7 @@
 
         Where many of its zone are silent, only a much longer silence counts.
         """
-        silence_s = now - machine.last_heard
+        silence_s = now - machine.last_heartbeat_at
         return silence_s > self.silent_s and (
             machine.zone not in self._quiet_zones or silence_s > 2.0 * self._deployment.cancel_s
         )
@@ -210,7 +212,7 @@
             for machine in machines
             if machine.booted and (not machine.decommissioning or machine.deleted_for_silence)
         ]
-        up = [machine for machine in booted if machine.up]
+        up = [machine for machine in booted if machine.has_sent_heartbeat]
         shortest_s = self._shortest_silence_s(up, now)
         self._find_quiet_zones(booted, shortest_s, now)
         self._count_unresponsive(machines, now)
@@ -230,7 +232,9 @@
         if shortest_s > REQUEST_SHARE * limit_s:
             # All of them may have reported to a controller that ended, and take some seconds to
             # find another one. One that answers us will then be known to live.
-            for machine in heapq.nlargest(MAX_PROBES, up, key=lambda machine: machine.last_heard):
+            for machine in heapq.nlargest(
+                MAX_PROBES, up, key=lambda machine: machine.last_heartbeat_at
+            ):
                 prober.request_heartbeat(machine)
         self._probe(machines, now, prober)
 
@@ -238,7 +242,7 @@
         """How long all machines have been silent; of a single one it says nothing."""
         if len(up) <= 1:
             return 0.0
-        return min(now - machine.last_heard for machine in up)
+        return min(now - machine.last_heartbeat_at for machine in up)
 
     def _find_quiet_zones(self, booted: list[Machine], shortest_s: float, now: Seconds) -> None:
         """Find the zones in which too many machines are silent to blame each of them.
@@ -250,7 +254,9 @@
         silenced = Counter(zone for _, zone in self._silenced)
         present = Counter(machine.zone for machine in booted) + silenced
         quiet = (
-            Counter(machine.zone for machine in booted if now - machine.last_heard > self.quiet_s)
+            Counter(
+                machine.zone for machine in booted if now - machine.last_heartbeat_at > self.quiet_s
+            )
             + silenced
         )
         all_quiet = shortest_s > 1.25 * self._deployment.heartbeat_interval_s + 0.5
@@ -265,7 +271,7 @@
         self._unresponsive = sum(
             1
             for machine in machines
-            if machine.up
+            if machine.has_sent_heartbeat
             and not machine.decommissioning
             and machine.unresponsive_since is not None
             and now - machine.unresponsive_since > UNRESPONSIVE_S
@@ -290,7 +296,9 @@
 
     def _cut_off(self, machines: list[Machine], now: Seconds) -> bool:
         """Whether followers receive heartbeats and we reach no worker: one would lead better."""
-        up = sum(1 for machine in machines if machine.up and not machine.decommissioning)
+        up = sum(
+            1 for machine in machines if machine.has_sent_heartbeat and not machine.decommissioning
+        )
         return (
             len(self._unreached) >= max(3, CUT_OFF_SHARE * up)
             and now - self._reached_at > self._deployment.heartbeat_interval_s + CUT_OFF_S
@@ -307,7 +315,7 @@
                 probed < MAX_PROBES
                 and machine.booted
                 and not machine.decommissioning
-                and now - machine.last_heard > self.quiet_s
+                and now - machine.last_heartbeat_at > self.quiet_s
                 and machine.address is not None
                 and now - machine.probed_at >= PROBE_INTERVAL_S
             ):
--- a/src/crosscleat/core/control/pending_work.py
+++ b/src/crosscleat/core/control/pending_work.py
@@ -41,7 +41,7 @@
 
     def record_end_if_over(self, job: Job) -> None:
         """Write the job's end, if nothing more can happen to it."""
-        if job.over():
+        if job.is_over():
             self.ending[job.ref] = job
 
     def send_soon(self, machine: MachineId) -> None:
--- a/src/crosscleat/core/control/placer.py
+++ b/src/crosscleat/core/control/placer.py
@@ -42,7 +42,9 @@
             return
         spec = job.spec
         task, attempt = job.place(machine.id, machine.heartbeat_id.agent_epoch)
-        self._placement_records.of(job, job.chunk_of(task.number)).want(spec.priority, now)
+        self._placement_records.record_for(job, job.chunk_of(task.number)).mark_changed(
+            spec.priority, now
+        )
         self._pending.write_soon()
         allocation = Allocation(
             task,
@@ -77,10 +79,10 @@
         cpus, gpus = self._cluster.team_cpus, self._cluster.team_gpus
         return (
             limits is not None
-            and job.peek() is not None
+            and job.next_task() is not None
             and self._machines.usable(machine, now)
             and machine.fits(spec)
-            and machine.allowed(spec)
+            and machine.allows(spec)
             and self._cluster.zone_allows(spec, machine.zone)
             and within_limit(cpus.get(spec.team, 0.0) + spec.cpus, limits.cpus_max)
             and within_limit(gpus.get(spec.team, 0.0) + spec.gpus, limits.gpus_max)
--- a/src/crosscleat/core/control/progress.py
+++ b/src/crosscleat/core/control/progress.py
@@ -27,7 +27,7 @@
             allocation.task.job
             for machine in self._cluster.machines.values()
             for allocation in machine.allocations.values()
-            if allocation.state == heartbeats.RUNNING
+            if allocation.task_state == heartbeats.RUNNING
         )
         changed: dict[str, tuple[int, int]] = {}
         for job in self._jobs.values():
--- a/src/crosscleat/core/control/retries.py
+++ b/src/crosscleat/core/control/retries.py
@@ -50,9 +50,9 @@
         pause_s = ENDED_PAUSE_S
         if cause == heartbeats.ERROR:
             pause_s = self._count_failure(machine, job, number)
-        elif cause == heartbeats.NO_ROOM:
-            machine.full_until = Seconds(now + FULL_PAUSE_S)
-            if job.gang:
+        elif cause == heartbeats.NO_CAPACITY:
+            machine.placement_paused_until = Seconds(now + FULL_PAUSE_S)
+            if job.is_gang:
                 # The other members may be waiting for this one.
                 return None
             pause_s = REFUSED_PAUSE_S
@@ -63,7 +63,7 @@
         failures = job.failures.get(number, 0) + 1
         job.failures[number] = failures
         job.failed_on.add(machine.id)
-        machine.errors.add(job.ref)
+        machine.failed_jobs.add(job.ref)
         if not machine.quarantined and self._is_faulty(machine):
             machine.quarantined = True
             self._term.outbox.log(
@@ -75,5 +75,5 @@
 
     def _is_faulty(self, machine: Machine) -> bool:
         """Whether several jobs failed on the machine, not counting those that fail anywhere."""
-        jobs = (self._jobs.get(JobRef(ref)) for ref in machine.errors)
+        jobs = (self._jobs.get(JobRef(ref)) for ref in machine.failed_jobs)
         return sum(1 for job in jobs if job and not fails_repeatedly(job)) >= QUARANTINE_JOBS
--- a/src/crosscleat/core/control/scheduler.py
+++ b/src/crosscleat/core/control/scheduler.py
@@ -102,7 +102,7 @@
         for ref, assignments in groupby(planned, key=lambda assignment: assignment.job):
             job = self._jobs[ref]
             chosen = [self._cluster.machines[assignment.machine] for assignment in assignments]
-            if job.gang:
+            if job.is_gang:
                 self._placer.place_gang(job, chosen)
                 continue
             for machine in chosen:
--- a/src/crosscleat/core/control/takeover.py
+++ b/src/crosscleat/core/control/takeover.py
@@ -27,15 +27,15 @@
     if not (placement_records or decommission_records):
         leader.autoscaler.expect_no_machines()
     leader.placement_records.load(placement_records, leader.jobs)
-    leader.writer.remove(leader.placement_records.superseded())
+    leader.writer.remove(leader.placement_records.take_rewritten())
     for item, job in zip(live, list(leader.jobs.values()), strict=True):
-        job.loaded()
-        if job.begun:
+        job.finish_loading()
+        if job.ever_placed:
             job.idle_since = now
         _load_allocations(leader, job, now)
         if is_cancelled(item.value):
             leader.job_changes.cancel(job)
-        elif job.gang:
+        elif job.is_gang:
             leader.gangs.resume(job)
         leader.pending.record_end_if_over(job)
     for machine_id in leader.decommission_records.load(decommission_records):
@@ -56,7 +56,7 @@
                 machine.zone,
                 placed.agent_epoch,
                 recorded=True,
-                sent=True,
+                start_sent=True,
                 placed_at=now,
             )
             leader.cluster.add(machine, allocation)
--- a/src/crosscleat/core/control/task_statuses.py
+++ b/src/crosscleat/core/control/task_statuses.py
@@ -32,18 +32,18 @@
     def reconcile(self, machine: Machine, allocation: Allocation, task: TaskStatus | None) -> None:
         """Take in the status of one attempt; None: the newest heartbeat doesn't list it."""
         if task is None:
-            allocation.listed = False
+            allocation.in_last_heartbeat = False
             if allocation.stopping and not machine.may_still_start(allocation):
                 self._attempts.ended(machine, allocation)
             return
-        allocation.listed = allocation.sent = True
+        allocation.in_last_heartbeat = allocation.start_sent = True
         if task.state == heartbeats.EXITED:
             self._exited(machine, allocation, task)
             return
-        allocation.state = task.state
+        allocation.task_state = task.state
         job = self._jobs.get(allocation.task.job)
-        if job is not None and job.gang and task.state == heartbeats.WAITING:
-            job.progress.waits(self._term.now)
+        if job is not None and job.is_gang and task.state == heartbeats.WAITING:
+            job.progress.mark_waiting(self._term.now)
         if task.state == heartbeats.RUNNING and allocation.running_since is None:
             self._started_running(machine, allocation, job)
 
@@ -55,8 +55,8 @@
         machine.images[allocation.spec.image] = min(now, machine.images[allocation.spec.image])
         if job is None:
             return
-        if job.gang:
-            job.progress.runs(now)
+        if job.is_gang:
+            job.progress.mark_running(now)
         waited_s = now - job.submitted
         if waited_s > SLOW_START_S and allocation.placed_at > self._term.began:
             self._term.outbox.log(
@@ -71,9 +71,9 @@
         now = self._term.now
         if cause == heartbeats.DONE:
             self.learn_run_time(allocation, now)
-            machine.errors.clear()
+            machine.failed_jobs.clear()
         job = self._jobs.get(allocation.task.job)
-        if job is not None and job.gang and task.saved:
+        if job is not None and job.is_gang and task.saved:
             job.progress.end_attempt(job.spec, now, saved=True)
         self._attempts.ended(machine, allocation, cause)
 
@@ -90,6 +90,6 @@
         ):
             return
         job = self._jobs.get(allocation.task.job)
-        if job is not None and job.gang and job.done_count:
+        if job is not None and job.is_gang and job.done_count:
             return
         self._run_times.learn(allocation.spec, now - allocation.running_since)
--- a/src/crosscleat/core/control/user_requests.py
+++ b/src/crosscleat/core/control/user_requests.py
@@ -11,11 +11,20 @@
 import msgspec
 
 from ..model.cloud import MachineType
-from ..model.deployment import Deployment, team_can_hold
+from ..model.deployment import Deployment, team_limit_admits
 from ..model.effects import Outbox
 from ..model.ids import ABSENT, JobRef, Seconds, TypeName, WallTime
 from ..model.job_spec import JobSpec, Shape
-from ..model.store_calls import Commit, Committed, Conflict, Found, Item, NoSuchLease, Put, Read
+from ..model.store_calls import (
+    Commit,
+    Committed,
+    Conflict,
+    Item,
+    NoSuchLease,
+    Put,
+    Read,
+    ReadResult,
+)
 from ..state.job_records import is_cancelled, live_record, spec_of, submitted_at
 from ..state.keys import ended_key, live_key
 from .status_queries import StatusQueries, respond
@@ -94,7 +103,7 @@
     def _refusal(self, spec: JobSpec) -> int | None:
         """The status with which a new job is refused, or None if it is accepted."""
         limits = self._deployment.teams.get(spec.team)
-        if limits is None or not team_can_hold(spec, limits):
+        if limits is None or not team_limit_admits(spec, limits):
             return 422
         if not self._types:
             return 503
@@ -121,7 +130,7 @@
         self._try_cancel(request, ref, retries=0)
 
     def _try_cancel(self, request: int, ref: JobRef, retries: int) -> None:
-        def live_read(found: Found | None) -> None:
+        def live_read(found: ReadResult | None) -> None:
             if found is None:
                 self._answer(request, 503)
             elif found.item is None:
--- a/src/crosscleat/core/control/write_outcomes.py
+++ b/src/crosscleat/core/control/write_outcomes.py
@@ -45,7 +45,7 @@
             allocation.recorded = True
             if not allocation.stopping:
                 self._pending.send_soon(machine.id)
-        if job.gang and numbers and job.whole:
+        if job.is_gang and numbers and job.fully_recorded:
             # Members recorded earlier waited for the last one.
             for machine, _ in self._cluster.allocations_of(job):
                 self._pending.send_soon(machine.id)
--- a/src/crosscleat/core/control/writer.py
+++ b/src/crosscleat/core/control/writer.py
@@ -13,7 +13,7 @@
 
 from ..election.term import LeadingTerm
 from ..model.ids import JobRef, Seconds, Token, Version
-from ..model.store_calls import Commit, Committed, Conflict, Found, Item, NoSuchLease, Read
+from ..model.store_calls import Commit, Committed, Conflict, Item, NoSuchLease, Read, ReadResult
 from ..state.batch import Batch
 from ..state.cluster import ClusterState
 from ..state.decommission_records import DecommissionRecords
@@ -116,31 +116,31 @@
         The store admits few writes a second, so what does not fit waits for the next transaction.
         """
         batch = Batch(token, self._term.deployment.txn_ops)
-        for record in self._placement_records.urgent(now):
-            batch.record(record)
+        for record in self._placement_records.awaited_by_starts(now):
+            batch.add_record(record)
         self._add_decommissions(batch)
-        batch.limit(MAX_END_WRITES)
+        batch.limit_writes(MAX_END_WRITES)
         for job in self._pending.ending.values():
-            if not job.needs_reread and batch.room(2, 1):
-                batch.end(job)
+            if not job.needs_reread and batch.has_capacity(2, 1):
+                batch.end_job(job)
         return batch
 
     def _add_deferred(self, batch: Batch) -> None:
         """Add a few records that only spare a later leader some work."""
-        batch.limit(MAX_DEFERRED_WRITES)
-        for record in self._placement_records.lazy():
+        batch.limit_writes(MAX_DEFERRED_WRITES)
+        for record in self._placement_records.deferrable():
             self._add_deferred_record(batch, record)
-        while self._obsolete and batch.room(1, 1):
+        while self._obsolete and batch.has_capacity(1, 1):
             batch.remove(*self._obsolete.popleft())
 
     def _add_deferred_record(self, batch: Batch, record: PlacementRecord) -> None:
-        if record.members:
-            batch.record(record)
+        if record.entries:
+            batch.add_record(record)
         elif not record.version:
-            self._placement_records.removed(record)
-        elif batch.room(1, 1):
-            record.closing = True
-            batch.closing.append(record)
+            self._placement_records.remove_record(record)
+        elif batch.has_capacity(1, 1):
+            record.removal_pending = True
+            batch.removed_records.append(record)
             batch.remove(record.key, record.version)
 
     def _add_decommissions(self, batch: Batch) -> None:
@@ -150,8 +150,8 @@
             for machine in machines
             if machine.decommissioning and not machine.decommission_recorded
         ]
-        if unrecorded and batch.room(1, 1):
-            batch.decommission_record, room = self._decommission_records.open()
+        if unrecorded and batch.has_capacity(1, 1):
+            batch.decommission_record, room = self._decommission_records.with_capacity()
             batch.decommissioned = unrecorded[: min(room, MAX_DECOMMISSIONS)]
             batch.put(
                 batch.decommission_record.put(machine.id for machine in batch.decommissioned),
@@ -187,7 +187,7 @@
 
     def _only_users_changes(self, batch: Batch, conflict: Conflict) -> bool:
         """Whether nothing but live records have changed, which users change by cancelling."""
-        live_keys = {live_key(job.ref) for job in batch.jobs}
+        live_keys = {live_key(job.ref) for job in batch.compared_jobs}
         return not conflict.repeated and bool(conflict.failed) and conflict.failed <= live_keys
 
     def _committed(self, batch: Batch, revision: Version) -> None:
@@ -199,22 +199,22 @@
             batch.decommission_record.names.update(
                 (machine.id, None) for machine in batch.decommissioned
             )
-        for record in batch.records:
+        for record in batch.placement_records:
             record.version = revision
-        for record in batch.closing:
-            self._placement_records.removed(record)
+        for record in batch.removed_records:
+            self._placement_records.remove_record(record)
         for job, chunk, recorded in batch.chunks:
             added = recorded - chunk.recorded
             chunk.recorded = recorded
             self._listener.placements_recorded(
                 job, [placement.number for placement in added if job.is_current(*placement)]
             )
-        self._placement_records.written((job, chunk) for job, chunk, _ in batch.chunks)
-        for job in batch.ended:
+        self._placement_records.mark_rewritten((job, chunk) for job, chunk, _ in batch.chunks)
+        for job in batch.ended_jobs:
             del self._pending.ending[job.ref]
-            self._placement_records.forget(job)
+            self._placement_records.remove_job(job)
             self._listener.end_recorded(job)
-        self.remove(self._placement_records.superseded())
+        self.remove(self._placement_records.take_rewritten())
 
     def _void_cancelled(self, batch: Batch, failed: frozenset[str]) -> None:
         """Users cancelled jobs of the batch, so nothing of it was written.
@@ -222,23 +222,25 @@
         Starts are sent only once they are on record, so those jobs' new placements are void. The
         other records of the batch are written again.
         """
-        for record in batch.closing:
-            record.closing = False
-        for job in batch.jobs:
+        for record in batch.removed_records:
+            record.removal_pending = False
+        for job in batch.compared_jobs:
             if live_key(job.ref) not in failed:
                 continue
             self._listener.placements_void(job)
             if batch.conditions[live_key(job.ref)] == job.version:
                 job.needs_reread = True
                 self._reread(job)
-        for record in batch.records:
+        for record in batch.placement_records:
             urgent = [
-                job.spec.priority for job, chunk in record.members.values() if chunk.unrecorded()
+                job.spec.priority
+                for job, chunk in record.entries.values()
+                if chunk.has_unrecorded()
             ]
-            record.want(max(urgent, default=None), self._term.now)
+            record.mark_changed(max(urgent, default=None), self._term.now)
 
     def _reread(self, job: Job) -> None:
-        def live_read(found: Found | None) -> None:
+        def live_read(found: ReadResult | None) -> None:
             if found is not None and found.item is not None:
                 self._listener.job_reread(found.item)
             elif not self._term.retired and self._jobs.get(job.ref) is job and job.needs_reread:
--- a/src/crosscleat/core/election/election.py
+++ b/src/crosscleat/core/election/election.py
@@ -19,11 +19,11 @@
     Commit,
     Committed,
     Conflict,
-    Found,
     GrantLease,
     NoSuchLease,
     Put,
     Read,
+    ReadResult,
     Record,
     RenewLease,
     RevokeLease,
@@ -120,7 +120,7 @@
         if generation == self._generation:
             self.begin()
 
-    def _leader_read(self, generation: int, found: Found | None) -> None:
+    def _leader_read(self, generation: int, found: ReadResult | None) -> None:
         if generation != self._generation:
             return
         if found is None:
--- a/src/crosscleat/core/election/upgrade.py
+++ b/src/crosscleat/core/election/upgrade.py
@@ -12,7 +12,16 @@
 
 from ..model.effects import Delay, Outbox
 from ..model.ids import ABSENT, Member
-from ..model.store_calls import Commit, Committed, Conflict, Item, Listing, NoSuchLease, Put, Scan
+from ..model.store_calls import (
+    Commit,
+    Committed,
+    Conflict,
+    Item,
+    NoSuchLease,
+    Put,
+    Scan,
+    ScanResult,
+)
 from ..state.keys import FORMAT
 
 FORMAT_VERSION = 2
@@ -55,7 +64,7 @@
     def _read(self) -> None:
         self._outbox.add(Scan(FORMAT, self._scanned))
 
-    def _scanned(self, listing: Listing | None) -> None:
+    def _scanned(self, listing: ScanResult | None) -> None:
         if listing is not None:
             self.formats_read(listing.items)
         if not self.complete:
--- a/src/crosscleat/core/model/deployment.py
+++ b/src/crosscleat/core/model/deployment.py
@@ -72,7 +72,7 @@
         )
 
 
-def team_can_hold(job: JobSpec, limits: TeamLimits) -> bool:
+def team_limit_admits(job: JobSpec, limits: TeamLimits) -> bool:
     """Whether the team's limit admits what must run of the job at once."""
     at_once = job.tasks if job.shape is Shape.GANG else 1
     return (limits.cpus_max <= 0 or at_once * job.cpus <= limits.cpus_max) and (
--- a/src/crosscleat/core/model/heartbeats.py
+++ b/src/crosscleat/core/model/heartbeats.py
@@ -25,7 +25,7 @@
 
 ERROR = "error"
 
-NO_ROOM = "no_room"
+NO_CAPACITY = "no_room"
 
 GANG_MEMBER_LOST = "mates_gone"
 """Another task of the running gang was gone."""
@@ -33,7 +33,9 @@
 INCOMPLETE = "incomplete"
 """The gang was not complete in time."""
 
-CAUSES = frozenset((DONE, STOPPED, ERROR, NO_ROOM, "busy", "no_such", GANG_MEMBER_LOST, INCOMPLETE))
+CAUSES = frozenset(
+    (DONE, STOPPED, ERROR, NO_CAPACITY, "busy", "no_such", GANG_MEMBER_LOST, INCOMPLETE)
+)
 
 
 class TaskStatus(msgspec.Struct, frozen=True):
--- a/src/crosscleat/core/model/shards.py
+++ b/src/crosscleat/core/model/shards.py
@@ -13,7 +13,7 @@
 
     spec: JobSpec
     age_s: float
-    waiting: int
+    waiting_tasks: int
     failed_on: tuple[MachineId, ...]
     zones: dict[Zone, int]
     at_risk: bool
@@ -40,11 +40,11 @@
 
     number: int
     jobs: tuple[JobView, ...]
-    rooms: tuple[MachineView, ...]
+    machines: tuple[MachineView, ...]
     shares: dict[Team, tuple[float, float]]
     """CPUs and GPUs that the part may use of each team's limit; a team left out has none."""
     reserve: float
-    factors: dict[str, float]
+    estimate_factors: dict[str, float]
     """By how much estimates are off, by class."""
 
 
--- a/src/crosscleat/core/model/store_calls.py
+++ b/src/crosscleat/core/model/store_calls.py
@@ -53,14 +53,14 @@
     """The lease had ended; nothing was written."""
 
 
-class Found(msgspec.Struct, frozen=True):
+class ReadResult(msgspec.Struct, frozen=True):
     """A key as it was at the revision; `item` is None if it does not exist."""
 
     item: Item | None
     revision: Version
 
 
-class Listing(msgspec.Struct, frozen=True):
+class ScanResult(msgspec.Struct, frozen=True):
     """All keys with a prefix as they were at the revision."""
 
     items: list[Item]
@@ -90,7 +90,7 @@
     """Read one key."""
 
     key: str
-    continuation: Callable[[Found | None], None]
+    continuation: Callable[[ReadResult | None], None]
     patience_s: float = 1.5
     for_user: bool = False
 
@@ -99,7 +99,7 @@
     """Read all keys with the prefix."""
 
     prefix: str
-    continuation: Callable[[Listing | None], None]
+    continuation: Callable[[ScanResult | None], None]
     for_user: bool = False
 
 
--- a/src/crosscleat/core/scheduling/assignment_search.py
+++ b/src/crosscleat/core/scheduling/assignment_search.py
@@ -68,7 +68,7 @@
         """Stage two: commit the best pair until there is none, or so many assignments."""
         while self._heap and len(self.assignments) < max_assignments:
             pair = heapq.heappop(self._heap)
-            if pair.job.gang:
+            if pair.job.is_gang:
                 self._commit_gang(pair.job)
             else:
                 self._commit_task(pair.job, pair.candidate)
@@ -77,10 +77,10 @@
         taken = self._feasibility.taken(job)
         if taken >= job.waiting_count() or not self._feasibility.team_admits(job):
             return False
-        if (fails_repeatedly(job) or job.gang) and taken + job.placed_count() > 0:
+        if (fails_repeatedly(job) or job.is_gang) and taken + job.placed_count() > 0:
             return False
         # If some tasks of a gang pause after a failure, it is tried again whole.
-        return not job.gang or job.waiting_count() >= job.spec.tasks
+        return not job.is_gang or job.waiting_count() >= job.spec.tasks
 
     def _commit_gang(self, job: Job) -> None:
         candidates = self._gangs.place(job, self._ranking.candidates(job))
--- a/src/crosscleat/core/scheduling/cycle.py
+++ b/src/crosscleat/core/scheduling/cycle.py
@@ -45,7 +45,7 @@
         `reservations` are passed where `jobs` are only some of those that wait; else the cycle
         makes its own.
         """
-        waiting = [job for job in jobs if job.peek() is not None]
+        waiting = [job for job in jobs if job.next_task() is not None]
         if not waiting:
             return []
         feasibility = Feasibility(self._context, machines)
@@ -96,7 +96,7 @@
     ) -> dict[MachineId, Reservation]:
         """The machines that are emptied for large tasks and gangs, and for whose."""
         feasibility = Feasibility(self._context, machines)
-        self._reserve(feasibility, [job for job in jobs if job.peek() is not None])
+        self._reserve(feasibility, [job for job in jobs if job.next_task() is not None])
         return {
             candidate.machine.id: candidate.reservation
             for candidate in feasibility.candidates
--- a/src/crosscleat/core/scheduling/feasibility.py
+++ b/src/crosscleat/core/scheduling/feasibility.py
@@ -91,16 +91,16 @@
 
     def ignores_reserves(self, job: Job) -> bool:
         """Whether its next task may use free capacity that is left to other work."""
-        first = job.gang or job.ref not in self._taken
-        return first and job.idle_s(self._now) > IGNORES_RESERVES_AFTER_S
+        first = job.is_gang or job.ref not in self._taken
+        return first and job.idle_duration_s(self._now) > IGNORES_RESERVES_AFTER_S
 
     def gang_goes_first(self, job: Job) -> bool:
         """Whether it is a gang that has waited for so long that it goes before all others."""
-        return job.gang and job.idle_s(self._now) > GANG_FIRST_AFTER_S
+        return job.is_gang and job.idle_duration_s(self._now) > GANG_FIRST_AFTER_S
 
     def admits(self, job: Job, candidate: FreeCapacity) -> bool:
         """Whether the job's next task may go there."""
-        if not candidate.fits(job.spec) or not candidate.machine.allowed(job.spec):
+        if not candidate.fits(job.spec) or not candidate.machine.allows(job.spec):
             return False
         if self._is_kept_from(job, candidate) and not self.ignores_reserves(job):
             return False
@@ -155,14 +155,14 @@
         if not spec.spread:
             return spec.tasks
         placed = self._zones.get(job.ref, {})
-        return spec.per_zone() - self._cluster.in_zone(spec, zone) - placed.get(zone, 0)
+        return spec.per_zone() - self._cluster.tasks_in_zone(spec, zone) - placed.get(zone, 0)
 
     def _failed_everywhere(self, job: Job) -> bool:
         """Whether it failed on each machine that it could be on: then any of them may try again."""
         return all(
             candidate.machine.id in job.failed_on
             for candidate in self.candidates
-            if candidate.machine.allowed(job.spec)
+            if candidate.machine.allows(job.spec)
             and candidate.machine.type.has_capacity_for(job.spec)
         )
 
@@ -176,7 +176,7 @@
         if spec.one_zone and any(zone != machine.zone for zone in placed):
             return False
         if spec.spread:
-            before = self._cluster.in_zone(spec, machine.zone)
+            before = self._cluster.tasks_in_zone(spec, machine.zone)
             return before + placed.get(machine.zone, 0) < spec.per_zone()
         return True
 
--- a/src/crosscleat/core/scheduling/job_selection.py
+++ b/src/crosscleat/core/scheduling/job_selection.py
@@ -54,7 +54,7 @@
         if self._feasibility.gang_goes_first(job):
             return True
         age = self._now - job.submitted
-        return age > MUST_START_AFTER_S and not job.begun and not self._feasibility.taken(job)
+        return age > MUST_START_AFTER_S and not job.ever_placed and not self._feasibility.taken(job)
 
     def is_set_aside(self, job: Job) -> bool:
         """Whether it may only use what all others leave."""
--- a/src/crosscleat/core/scheduling/preemption.py
+++ b/src/crosscleat/core/scheduling/preemption.py
@@ -68,7 +68,7 @@
 
     `jobs` are all jobs; `machines` are those on which tasks may be placed.
     """
-    running = list(context.cluster.running())
+    running = list(context.cluster.machines_by_team())
     if not any(_ever_yields(team, priority, context.teams) for team, priority, _ in running):
         return []
     return _Preemption(context, jobs, machines, running, rng).choose(waiting)
@@ -109,7 +109,7 @@
 
     def _may_preempt(self, job: Job) -> bool:
         """Gangs are left out: they need all their places at one time."""
-        return job.waiting_count() > 0 and not job.gang and not fails_repeatedly(job)
+        return job.waiting_count() > 0 and not job.is_gang and not fails_repeatedly(job)
 
     def _yields(self, team: Team, priority: Priority, job: Job) -> bool:
         """Whether work of that team and priority is stopped for the job."""
@@ -169,7 +169,7 @@
     def _candidate(self, job: Job, machine_id: MachineId) -> FreeCapacity | None:
         """The machine's capacity, if the job may use the machine."""
         machine = self._machines.get(machine_id)
-        if machine is None or not machine.allowed(job.spec) or machine_id in job.failed_on:
+        if machine is None or not machine.allows(job.spec) or machine_id in job.failed_on:
             return None
         if not machine.type.has_capacity_for(job.spec):
             return None
@@ -257,4 +257,4 @@
 
     Only a new fencing token would prove that it does not start after all.
     """
-    return allocation.sent and not allocation.listed
+    return allocation.start_sent and not allocation.in_last_heartbeat
--- a/src/crosscleat/core/scheduling/reservations.py
+++ b/src/crosscleat/core/scheduling/reservations.py
@@ -46,12 +46,12 @@
     groups = _groups(candidates)
     waited = [job for job in waiting if now - job.submitted >= RESERVE_AFTER_S]
     smallest = _smallest(groups)
-    found = [job for job in waited if job.gang or _may_be_large(job, smallest)]
+    found = [job for job in waited if job.is_gang or _may_be_large(job, smallest)]
     for job in sorted(found, key=lambda job: job.submitted):
         if not team_admits(job):
             continue
         able = [group for group in groups if _large_on(job, group.machine, scorer)]
-        if job.gang:
+        if job.is_gang:
             able = _able_to_hold_all(job, able)
         max_reserved = max(1, int(RESERVED_SHARE * sum(len(group.candidates) for group in able)))
         count = max_reserved - sum(group.reserved for group in able)
@@ -116,10 +116,10 @@
 
 def _large_on(job: Job, machine: Machine, scorer: Scorer) -> bool:
     """Whether it needs a machine that is emptied for it, or, as a gang, several places at once."""
-    if not machine.type.has_capacity_for(job.spec) or not machine.allowed(job.spec):
+    if not machine.type.has_capacity_for(job.spec) or not machine.allows(job.spec):
         return False
     share = scorer.share(job.spec, machine.type)
-    return (share * job.spec.tasks if job.gang else share) >= LARGE_SHARE
+    return (share * job.spec.tasks if job.is_gang else share) >= LARGE_SHARE
 
 
 def _able_to_hold_all(job: Job, groups: list[MachineGroup]) -> list[MachineGroup]:
@@ -149,7 +149,7 @@
 
 def _machines_needed(job: Job, able: list[MachineGroup], scorer: Scorer) -> int:
     """How many of them, emptied, the job's waiting tasks would take."""
-    if not job.gang:
+    if not job.is_gang:
         return job.waiting_count()
     share = max((scorer.share(job.spec, group.machine.type) for group in able), default=0.0)
     return math.ceil(job.waiting_count() * share)
@@ -165,5 +165,5 @@
         if candidate.reservation is None
     )
     for *_, candidate, group in heapq.nsmallest(count, free):
-        candidate.reservation = Reservation(job.ref, job.spec.priority, job.submitted, job.gang)
+        candidate.reservation = Reservation(job.ref, job.spec.priority, job.submitted, job.is_gang)
         group.reserved += 1
--- a/src/crosscleat/core/scheduling/shard_dispatch.py
+++ b/src/crosscleat/core/scheduling/shard_dispatch.py
@@ -37,7 +37,7 @@
         """Waiting jobs by their owner, if any is not ours."""
         found: dict[Member, list[Job]] = {}
         for job in jobs:
-            if job.peek() is not None and is_shardable(job):
+            if job.next_task() is not None and is_shardable(job):
                 found.setdefault(shard_owner(job.ref, self._members), []).append(job)
         return found if found.keys() - {self._term.deployment.member} else {}
 
--- a/src/crosscleat/core/scheduling/sharding.py
+++ b/src/crosscleat/core/scheduling/sharding.py
@@ -42,7 +42,7 @@
 
 def is_shardable(job: Job) -> bool:
     """Whether an owner may plan it: not what is tried with care, whole or after all others."""
-    return not job.gang and not job.backfill and not fails_repeatedly(job)
+    return not job.is_gang and not job.backfill and not fails_repeatedly(job)
 
 
 def quota_shares(
@@ -144,7 +144,7 @@
     jobs = []
     for given in view.jobs:
         job = Job(given.spec, Version(0), Seconds(now - given.age_s))
-        job.fresh = max(0, given.spec.tasks - given.waiting)
+        job.first_untried = max(0, given.spec.tasks - given.waiting_tasks)
         job.succeeded = True
         job.failed_on = set(given.failed_on)
         job.at_risk = given.at_risk
@@ -154,7 +154,7 @@
         jobs.append(job)
     machines = []
     reservations = {}
-    for candidate in view.rooms:
+    for candidate in view.machines:
         if candidate.type in types:
             machine = Machine(
                 candidate.machine, types[candidate.type], candidate.zone, candidate.spot
@@ -172,7 +172,7 @@
         team: TeamLimits(team, 0.0, cpus, 0.0, gpus) for team, (cpus, gpus) in view.shares.items()
     }
     run_times = RunTimes()
-    run_times.factors = dict(view.factors)
+    run_times.factors = dict(view.estimate_factors)
     context = CycleContext(cluster, teams, now, CycleReserves(urgent_cpus=view.reserve))
     cycle = SchedulingCycle(context, Scorer(deployment, run_times), rng)
     assignments = cycle.plan(jobs, machines, MAX_ASSIGNMENTS, reservations)
--- a/src/crosscleat/core/state/allocations.py
+++ b/src/crosscleat/core/state/allocations.py
@@ -30,17 +30,17 @@
     agent_epoch: AgentEpoch
     recorded: bool = False
     """The store has the placement: a start may be sent."""
-    listed: bool = False
+    in_last_heartbeat: bool = False
     """The newest report lists it."""
-    state: str = ""
+    task_state: str = ""
     stopping: bool = False
     """It is to go: no start is sent any more, and a stop when it is listed."""
     replaced: bool = False
     """Withdrawn by itself: its gang waits, and another place is found for it."""
     grace_s: float = 0.0
-    answered_at: int = 0
+    start_sent_at_sequence: int = 0
     """Tally of the last check-in whose answer carried its start."""
-    sent: bool = False
+    start_sent: bool = False
     """A start may have been sent, by this leader or an earlier one."""
     placed_at: Seconds = LONG_AGO
     running_since: Seconds | None = None
--- a/src/crosscleat/core/state/batch.py
+++ b/src/crosscleat/core/state/batch.py
@@ -23,24 +23,24 @@
         self.writes: list[Put | Remove] = []
         self.decommissioned: list[Machine] = []
         self.decommission_record: DecommissionRecord | None = None
-        self.jobs: dict[Job, None] = {}
+        self.compared_jobs: dict[Job, None] = {}
         """Those whose live record is compared."""
-        self.ended: list[Job] = []
-        self.records: list[PlacementRecord] = []
-        self.closing: list[PlacementRecord] = []
+        self.ended_jobs: list[Job] = []
+        self.placement_records: list[PlacementRecord] = []
+        self.removed_records: list[PlacementRecord] = []
         self.chunks: list[tuple[Job, Chunk, frozenset[RecordedPlacement]]] = []
         self._most = most
         self._most_conditions = 4 * most
         self._bytes_left = MAX_BYTES
 
-    def room(self, writes: int, conditions: int) -> bool:
+    def has_capacity(self, writes: int, conditions: int) -> bool:
         """Whether so many more writes and conditions fit."""
         return (
             len(self.writes) + writes <= self._most
             and len(self.conditions) + writes + conditions <= self._most_conditions
         )
 
-    def limit(self, more: int) -> None:
+    def limit_writes(self, more: int) -> None:
         """From here on, only so many writes more."""
         self._most = min(self._most, len(self.writes) + more)
 
@@ -56,29 +56,29 @@
 
     def _compare_job(self, job: Job) -> None:
         self.conditions[live_key(job.ref)] = job.version
-        self.jobs[job] = None
+        self.compared_jobs[job] = None
 
-    def end(self, job: Job) -> None:
+    def end_job(self, job: Job) -> None:
         """Record the job's end, if its live record is as we know it."""
         self._compare_job(job)
         record = ended_record(job.spec.tasks, cancelled=job.cancelled)
         self.writes.append(Put(ended_key(job.ref), record))
         self.writes.append(Remove(live_key(job.ref)))
-        self.ended.append(job)
+        self.ended_jobs.append(job)
 
-    def record(self, record: PlacementRecord) -> None:
+    def add_record(self, record: PlacementRecord) -> None:
         """Write it, if there is room, comparing each job of which an attempt is new."""
-        starting = [job for job, chunk in record.members.values() if chunk.unrecorded()]
-        if record in self.records or record.size > self._bytes_left:
+        starting = [job for job, chunk in record.entries.values() if chunk.has_unrecorded()]
+        if record in self.placement_records or record.size > self._bytes_left:
             return
-        if not self.room(1, len(starting)):
+        if not self.has_capacity(1, len(starting)):
             return
         self._bytes_left -= record.size
         for job in starting:
             self._compare_job(job)
         self.put(Put(record.key, record.value()), record.version)
-        self.records.append(record)
-        for job, chunk in record.members.values():
-            self.chunks.append((job, chunk, chunk.entered()))
+        self.placement_records.append(record)
+        for job, chunk in record.entries.values():
+            self.chunks.append((job, chunk, chunk.known_placements()))
         record.dirty = False
-        record.urgent = None
+        record.start_priority = None
--- a/src/crosscleat/core/state/cluster.py
+++ b/src/crosscleat/core/state/cluster.py
@@ -38,12 +38,12 @@
         self.team_cpus: dict[str, float] = {}
         self.team_gpus: dict[str, float] = {}
         self.job_zones: dict[str, dict[Zone, int]] = {}
-        self._running: dict[tuple[Team, Priority], dict[MachineId, int]] = {}
+        self._machines_by_team: dict[tuple[Team, Priority], dict[MachineId, int]] = {}
         """How many holds of each team and priority a machine has."""
 
-    def running(self) -> Iterator[tuple[Team, Priority, Collection[MachineId]]]:
+    def machines_by_team(self) -> Iterator[tuple[Team, Priority, Collection[MachineId]]]:
         """Teams and priorities of which there are holds, and the machines that have them."""
-        for (team, priority), machines in self._running.items():
+        for (team, priority), machines in self._machines_by_team.items():
             if machines:
                 yield team, priority, machines.keys()
 
@@ -85,7 +85,7 @@
             machine.used_cpus = machine.used_gpus = machine.used_memory = 0.0
         self.team_cpus[job.team] = self.team_cpus.get(job.team, 0.0) + sign * job.cpus
         self.team_gpus[job.team] = self.team_gpus.get(job.team, 0.0) + sign * job.gpus
-        running = self._running.setdefault((job.team, job.priority), {})
+        running = self._machines_by_team.setdefault((job.team, job.priority), {})
         running[machine.id] = running.get(machine.id, 0) + sign
         if running[machine.id] <= 0:
             del running[machine.id]
@@ -103,9 +103,9 @@
         zones = self.job_zones.get(job.ref, {})
         if job.one_zone and any(other != zone for other in zones):
             return False
-        return not job.spread or self.in_zone(job, zone) < job.per_zone()
+        return not job.spread or self.tasks_in_zone(job, zone) < job.per_zone()
 
-    def in_zone(self, job: JobSpec, zone: Zone) -> int:
+    def tasks_in_zone(self, job: JobSpec, zone: Zone) -> int:
         """The job's tasks that may be in the zone: also those on machines not yet described."""
         zones = self.job_zones.get(job.ref, {})
         return zones.get(zone, 0) + zones.get(NOWHERE, 0)
--- a/src/crosscleat/core/state/decommission_records.py
+++ b/src/crosscleat/core/state/decommission_records.py
@@ -52,7 +52,7 @@
             self._next = max(self._next, record.number + 1)
         return [name for record in self._records.values() for name in record.names]
 
-    def open(self) -> tuple[DecommissionRecord, int]:
+    def with_capacity(self) -> tuple[DecommissionRecord, int]:
         """One with room for more names, and for how many."""
         for record in self._records.values():
             if len(record.names) < self._most // 2:
@@ -61,7 +61,7 @@
         self._next += 1
         return record, self._most
 
-    def forget(self, name: MachineId) -> DecommissionRecord | None:
+    def remove_name(self, name: MachineId) -> DecommissionRecord | None:
         """The name need not be known any more; the record, if it holds no other."""
         for record in self._records.values():
             if name in record.names:
--- a/src/crosscleat/core/state/gangs.py
+++ b/src/crosscleat/core/state/gangs.py
@@ -21,7 +21,7 @@
 
 Placed = tuple[Machine, Allocation]
 
-REPLACEABLE = (None, heartbeats.NO_ROOM, heartbeats.STOPPED)
+REPLACEABLE = (None, heartbeats.NO_CAPACITY, heartbeats.STOPPED)
 """Ends of a task that say nothing against completing the attempt that waits for it."""
 
 IN_TIME_SHARE = 0.7
@@ -30,7 +30,7 @@
 STOP_MARGIN_S = 1.0
 """Kept free of a notice for the messages that stop a gang."""
 
-CHECK_IN_JITTER = 1.25
+HEARTBEAT_JITTER = 1.25
 """A worker reports every `report_s`, a quarter more at the most."""
 
 FETCH_SPREAD = 1.4
@@ -47,7 +47,7 @@
     STOPPING = enum.auto()
 
 
-class OnNotice(enum.Enum):
+class InterruptionResponse(enum.Enum):
     """What becomes of a gang one of whose machines is to be taken back."""
 
     KEEP = enum.auto()
@@ -80,17 +80,17 @@
         self.running_since = self.stopped_at = self.waiting_since = None
         self.lost_on.clear()
 
-    def runs(self, now: Seconds) -> None:
+    def mark_running(self, now: Seconds) -> None:
         """A task was seen to run, so all of them do."""
         if self.running_since is None:
             self.running_since = now
 
-    def waits(self, now: Seconds) -> None:
+    def mark_waiting(self, now: Seconds) -> None:
         """A task was seen to wait for the others."""
         if self.waiting_since is None:
             self.waiting_since = now
 
-    def stops(self, now: Seconds) -> None:
+    def mark_stopping(self, now: Seconds) -> None:
         """The first stop is being sent."""
         if self.stopped_at is None:
             self.stopped_at = now
@@ -126,12 +126,12 @@
             continue
         if allocation.stopping:
             return Phase.STOPPING
-        if allocation.running_since is not None or allocation.state in (
+        if allocation.running_since is not None or allocation.task_state in (
             heartbeats.RUNNING,
             heartbeats.SAVING,
         ):
             return Phase.RUNNING
-        if allocation.sent and not machine.confirmed:
+        if allocation.start_sent and not machine.confirmed_in_term:
             phase = Phase.UNHEARD
     return phase
 
@@ -143,39 +143,39 @@
 
 def start_delay_s(machine: Machine, deployment: Deployment, now: Seconds) -> float:
     """How long a start takes to reach the machine: at once, or with its next check-in."""
-    reachable = machine.address is not None and machine.direct_after <= now
-    return 0.0 if reachable else CHECK_IN_JITTER * deployment.heartbeat_interval_s
+    reachable = machine.address is not None and machine.direct_paused_until <= now
+    return 0.0 if reachable else HEARTBEAT_JITTER * deployment.heartbeat_interval_s
 
 
-def can_be_told(machine: Machine, deployment: Deployment, now: Seconds) -> bool:
+def is_reachable_in_time(machine: Machine, deployment: Deployment, now: Seconds) -> bool:
     """Whether a stop sent now reaches the machine within `gang_peer_s`."""
-    check_in_s = CHECK_IN_JITTER * deployment.heartbeat_interval_s
-    heard = now - machine.last_heard <= check_in_s + STOP_MARGIN_S
+    check_in_s = HEARTBEAT_JITTER * deployment.heartbeat_interval_s
+    heard = now - machine.last_heartbeat_at <= check_in_s + STOP_MARGIN_S
     if not heard or machine.unresponsive_since is not None:
         return False
     delay_s = start_delay_s(machine, deployment, now)
     return delay_s + STOP_MARGIN_S <= deployment.gang_peer_s
 
 
-def on_notice(
+def respond_to_notice(
     spec: JobSpec,
     placed: list[Placed],
     left_to_run_s: float,
     notice_s: float,
     deployment: Deployment,
     now: Seconds,
-) -> OnNotice:
+) -> InterruptionResponse:
     """What to do with a gang one of whose machines goes in `notice_s` seconds."""
     phase = phase_of(placed)
     if phase is Phase.STOPPING or left_to_run_s < IN_TIME_SHARE * notice_s:
-        return OnNotice.KEEP
+        return InterruptionResponse.KEEP
     if phase is not Phase.RUNNING:
-        return OnNotice.REPLACE
+        return InterruptionResponse.REPLACE
     saves_in_time = spec.checkpoint_s > 0 and spec.save_s + STOP_MARGIN_S <= notice_s
     if not saves_in_time:
-        return OnNotice.STOP
-    if all(can_be_told(machine, deployment, now) for machine, _ in placed):
-        return OnNotice.STOP_AND_SAVE
+        return InterruptionResponse.STOP
+    if all(is_reachable_in_time(machine, deployment, now) for machine, _ in placed):
+        return InterruptionResponse.STOP_AND_SAVE
     # A stop that reaches only some of them saves nothing: until the notice's last useful moment
     # the others may be heard of again.
-    return OnNotice.KEEP
+    return InterruptionResponse.KEEP
--- a/src/crosscleat/core/state/jobs.py
+++ b/src/crosscleat/core/state/jobs.py
@@ -28,7 +28,7 @@
 
 NEVER_TRIED = Attempt(0)
 
-CHUNK = 200
+DEFAULT_CHUNK_LENGTH = 200
 """Tasks that are kept together where nothing says otherwise, and always before `format/`."""
 
 
@@ -57,21 +57,21 @@
     """A job's `span` of consecutive tasks, kept together in one record."""
 
     number: int
-    record: int | None = None
+    record_number: int | None = None
     """The number of the record that keeps it."""
     placed: dict[int, Placement] = field(default_factory=dict)
-    tries: dict[int, Attempt] = field(default_factory=dict)
+    attempts: dict[int, Attempt] = field(default_factory=dict)
     recorded: frozenset[RecordedPlacement] = frozenset()
     """Where the stored records say that attempts may be."""
 
-    def entered(self) -> frozenset[RecordedPlacement]:
+    def known_placements(self) -> frozenset[RecordedPlacement]:
         """Where attempts may be as far as this process knows, recorded or not."""
         return frozenset(
             RecordedPlacement(index, placed.attempt, placed.machine)
             for index, placed in self.placed.items()
         )
 
-    def unrecorded(self) -> bool:
+    def has_unrecorded(self) -> bool:
         """Whether an attempt is entered that the store does not have."""
         return any((i, p.attempt, p.machine) not in self.recorded for i, p in self.placed.items())
 
@@ -83,14 +83,14 @@
     spec: JobSpec
     version: Version
     submitted: Seconds
-    chunk_length: int = CHUNK
+    chunk_length: int = DEFAULT_CHUNK_LENGTH
     cancelled: bool = False
     done: bytearray = field(default_factory=bytearray)
     done_count: int = 0
-    fresh: int = 0
+    first_untried: int = 0
     """Tasks from here on have never been tried."""
-    again: list[int] = field(default_factory=list)
-    resting: list[tuple[Seconds, int]] = field(default_factory=list)
+    retry_queue: list[int] = field(default_factory=list)
+    delayed: list[tuple[Seconds, int]] = field(default_factory=list)
     """Tasks that failed and wait before they are tried again."""
     failures: dict[int, int] = field(default_factory=dict)
     failed_on: set[MachineId] = field(default_factory=set)
@@ -129,25 +129,25 @@
         return chunk
 
     @property
-    def gang(self) -> bool:
+    def is_gang(self) -> bool:
         """Whether its tasks run together or not at all."""
         return self.spec.shape is Shape.GANG
 
     @property
-    def whole(self) -> bool:
+    def fully_recorded(self) -> bool:
         """Whether all of a gang's tasks may be on machines, as far as the store knows."""
         return self.placed_count() == self.spec.tasks and not any(
-            s.unrecorded() for s in self.chunks.values()
+            s.has_unrecorded() for s in self.chunks.values()
         )
 
     @property
-    def begun(self) -> bool:
+    def ever_placed(self) -> bool:
         """Whether any task of it is, or was, on a machine."""
-        return self.fresh > 0
+        return self.first_untried > 0
 
     def waiting_count(self) -> int:
         """Tasks that could be placed now."""
-        return self.spec.tasks - self.fresh + len(self.again)
+        return self.spec.tasks - self.first_untried + len(self.retry_queue)
 
     @property
     def partly_placed(self) -> bool:
@@ -158,42 +158,42 @@
         """Tasks that may be on a machine."""
         return sum(len(s.placed) for s in self.chunks.values())
 
-    def idle_s(self, now: Seconds) -> float:
+    def idle_duration_s(self, now: Seconds) -> float:
         """For how long no task of it has been on a machine."""
         return 0.0 if self.placed_count() else now - max(self.submitted, self.idle_since)
 
-    def wake(self, now: Seconds) -> None:
+    def resume_delayed(self, now: Seconds) -> None:
         """Let tasks be tried again that have rested for long enough."""
-        while self.resting and self.resting[0][0] <= now:
-            self.again.append(heapq.heappop(self.resting)[1])
+        while self.delayed and self.delayed[0][0] <= now:
+            self.retry_queue.append(heapq.heappop(self.delayed)[1])
 
-    def peek(self) -> int | None:
+    def next_task(self) -> int | None:
         """The task to place next."""
-        if self.again:
-            return self.again[-1]
-        return self.fresh if self.fresh < self.spec.tasks else None
+        if self.retry_queue:
+            return self.retry_queue[-1]
+        return self.first_untried if self.first_untried < self.spec.tasks else None
 
     def place(self, machine: MachineId, agent_epoch: AgentEpoch) -> tuple[TaskId, Attempt]:
         """Take the next task and enter its new attempt, to be recorded before it is sent."""
-        if self.gang and not self.placed_count():
+        if self.is_gang and not self.placed_count():
             self.gang_attempt = self._tried_last()
             self.progress.begin_attempt(self.spec)
-        if self.again:
-            index = self.again.pop()
+        if self.retry_queue:
+            index = self.retry_queue.pop()
         else:
-            index = self.fresh
-            self.fresh += 1
+            index = self.first_untried
+            self.first_untried += 1
         chunk = self.chunk_of(index)
         # All tasks of a gang's attempt have its number: by that they find each other.
-        before = self.gang_attempt if self.gang else chunk.tries.get(index, 0)
+        before = self.gang_attempt if self.is_gang else chunk.attempts.get(index, 0)
         attempt = Attempt(before + 1)
-        chunk.tries[index] = attempt
+        chunk.attempts[index] = attempt
         chunk.placed[index] = Placement(attempt, machine, agent_epoch)
         return TaskId(self.ref, index), attempt
 
     def _tried_last(self) -> Attempt:
         """The highest number that an attempt of any task has had."""
-        tries = (attempt for s in self.chunks.values() for attempt in s.tries.values())
+        tries = (attempt for s in self.chunks.values() for attempt in s.attempts.values())
         return max(tries, default=NEVER_TRIED)
 
     def is_current(self, index: int, attempt: Attempt, machine: MachineId) -> bool:
@@ -208,7 +208,7 @@
         """The task's current attempt completed."""
         chunk = self.chunk_of(index)
         chunk.placed.pop(index, None)
-        chunk.tries.pop(index, None)
+        chunk.attempts.pop(index, None)
         if not self.done[index]:
             self.done[index] = 1
             self.done_count += 1
@@ -220,16 +220,16 @@
         chunk = self.chunk_of(index)
         chunk.placed.pop(index, None)
         if not_before is None:
-            self.again.append(index)
+            self.retry_queue.append(index)
         else:
-            heapq.heappush(self.resting, (not_before, index))
+            heapq.heappush(self.delayed, (not_before, index))
 
     def chunk_record(self, chunk: Chunk) -> tuple[Record, Record]:
         """What a record keeps of the chunk: the tasks done, and the attempts of others."""
         first = chunk.number * self.chunk_length
         last = min(first + self.chunk_length, self.spec.tasks)
         rows: list[list[int | str]] = []
-        for index, attempt in sorted(chunk.tries.items()):
+        for index, attempt in sorted(chunk.attempts.items()):
             placement = chunk.placed.get(index)
             if placement is None:
                 rows.append([index, attempt])
@@ -248,29 +248,29 @@
             for n in range(first // self.chunk_length, (last - 1) // self.chunk_length + 1)
         ]
         for chunk in found:
-            for index in [i for i in chunk.tries if first <= i < last]:
-                del chunk.tries[index]
+            for index in [i for i in chunk.attempts if first <= i < last]:
+                del chunk.attempts[index]
                 chunk.placed.pop(index, None)
         for row in rows:
             index, attempt = row[0], Attempt(row[1])
             chunk = self.chunk_of(index)
-            chunk.tries[index] = attempt
+            chunk.attempts[index] = attempt
             if len(row) > 2:
                 chunk.placed[index] = Placement(attempt, MachineId(row[2]), AgentEpoch(row[3]))
         for chunk in found:
-            chunk.recorded = chunk.entered()
+            chunk.recorded = chunk.known_placements()
         return found
 
-    def loaded(self) -> None:
+    def finish_loading(self) -> None:
         """All chunks are in: work out what waits."""
         self.done_count = sum(self.done)
-        if self.gang and self.placed_count():
+        if self.is_gang and self.placed_count():
             self.gang_attempt = Attempt(self._tried_last() - 1)
         reached = (max(self.chunks) + 1) * self.chunk_length if self.chunks else 0
-        self.fresh = min(reached, self.spec.tasks)
-        self.again = [
+        self.first_untried = min(reached, self.spec.tasks)
+        self.retry_queue = [
             index
-            for index in range(self.fresh - 1, -1, -1)
+            for index in range(self.first_untried - 1, -1, -1)
             if not self.done[index] and not self.is_placed(index)
         ]
 
@@ -279,9 +279,9 @@
         for index in range(self.spec.tasks):
             if not self.done[index] and not self.is_placed(index):
                 self.finish(index)
-        self.again.clear()
-        self.resting.clear()
-        self.fresh = self.spec.tasks
+        self.retry_queue.clear()
+        self.delayed.clear()
+        self.first_untried = self.spec.tasks
 
     def is_placed(self, index: int) -> bool:
         """Whether an attempt of the task may be on a machine."""
@@ -293,7 +293,7 @@
         """Whether all tasks are done."""
         return self.done_count >= self.spec.tasks
 
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Nothing more can happen to any task of it."""
         if self.complete:
             return True
--- a/src/crosscleat/core/state/machine.py
+++ b/src/crosscleat/core/state/machine.py
@@ -38,10 +38,10 @@
     spot: bool
     address: str | None = None
     created_at: Seconds = LONG_AGO
-    up: bool = False
-    listed: bool = False
+    has_sent_heartbeat: bool = False
+    listed_by_cloud: bool = False
     """The cloud's list has named it."""
-    listed_running: bool = False
+    listed_as_running: bool = False
     """The cloud's list has named it as running: it has booted, heard of or not."""
     heartbeat_id: HeartbeatId = NO_HEARTBEAT
     heartbeat_sequence: int = 0
@@ -50,25 +50,25 @@
     pending_start_token: int = 0
     """A direct start sent with this token or a lower one may still be executed."""
     direct_in_flight: bool = False
-    last_heard: Seconds = LONG_AGO
-    answered_at: Seconds = NEVER_ANSWERED
+    last_heartbeat_at: Seconds = LONG_AGO
+    last_response_at: Seconds = NEVER_ANSWERED
     """When we last answered a check-in of it."""
-    answered_from: Seconds = LONG_AGO
+    responses_unbroken_since: Seconds = LONG_AGO
     """Since when we have answered them with no long pause."""
-    last_answer: Seconds = LONG_AGO
+    last_possible_renewal: Seconds = LONG_AGO
     """When anyone could last have renewed the worker's lease."""
     reclaim_at: Seconds | None = None
     quarantined: bool = False
     surplus: bool = False
     """It is not needed any more, and returned once it is empty."""
-    errors: set[str] = field(default_factory=set)
-    full_until: Seconds = LONG_AGO
+    failed_jobs: set[str] = field(default_factory=set)
+    placement_paused_until: Seconds = LONG_AGO
     decommissioning: bool = False
     """Its deletion is decided; nothing is placed on it again."""
     deleted_for_silence: bool = False
     """Its deletion was decided because nothing was heard of it."""
     decommission_recorded: bool = False
-    delete_sent: Seconds | None = None
+    deletion_sent_at: Seconds | None = None
     images: dict[str, Seconds] = field(default_factory=dict)
     """Images it should have, and from when on; the one used last comes last."""
     image_gb: dict[str, float] = field(default_factory=dict)
@@ -83,19 +83,19 @@
     """Attempts of this session whose start was sent directly, and with which token."""
     orphans: set[AttemptKey] = field(default_factory=set)
     """Attempts at work on it that no record knows: to be stopped."""
-    confirmed: bool = False
+    confirmed_in_term: bool = False
     """Rented or heard of for certain in this term: what speaks for it is no old report."""
     unresponsive_since: Seconds | None = None
     """Its reports show that it does not take up what our answers say."""
     probed_at: Seconds = LONG_AGO
-    direct_misses: int = 0
-    direct_after: Seconds = LONG_AGO
+    direct_failures: int = 0
+    direct_paused_until: Seconds = LONG_AGO
     """A direct message failed: until then it hears of orders by its check-ins alone."""
 
     @property
     def booted(self) -> bool:
         """Whether it has come up, as its own reports or the cloud's list say."""
-        return self.up or self.listed_running
+        return self.has_sent_heartbeat or self.listed_as_running
 
     @property
     def draining(self) -> bool:
@@ -144,7 +144,7 @@
             if old not in wanted:
                 del self.images[old], self.image_gb[old]
 
-    def allowed(self, job: JobSpec) -> bool:
+    def allows(self, job: JobSpec) -> bool:
         """Whether the job may be on this machine at all."""
         return (
             (job.types is None or self.type.name in job.types)
@@ -158,8 +158,8 @@
         A direct start stays possible until the worker has shown a higher token. One in a
         check-in's answer is executed before the next check-in is sent, or never.
         """
-        if not allocation.sent:
+        if not allocation.start_sent:
             return False
         if self.direct_in_flight or self.shown_token <= self.pending_start_token:
             return True
-        return self.heartbeat_sequence <= allocation.answered_at
+        return self.heartbeat_sequence <= allocation.start_sent_at_sequence
--- a/src/crosscleat/core/state/placement_records.py
+++ b/src/crosscleat/core/state/placement_records.py
@@ -19,7 +19,7 @@
 from ..model.ids import ABSENT, LONG_AGO, JobRef, Seconds, Version
 from ..model.job_spec import Priority
 from ..model.store_calls import Item, Record
-from .jobs import CHUNK, Chunk, Job
+from .jobs import DEFAULT_CHUNK_LENGTH, Chunk, Job
 from .keys import PLACEMENTS
 
 TASK_BYTES = 40
@@ -38,7 +38,7 @@
 
 def chunk_length_for(value_kb: float) -> int:
     """How many tasks a chunk has, so that one fits into a value."""
-    return min(CHUNK, (int(value_kb * 1024 * FULL) - CHUNK_BYTES) // TASK_BYTES)
+    return min(DEFAULT_CHUNK_LENGTH, (int(value_kb * 1024 * FULL) - CHUNK_BYTES) // TASK_BYTES)
 
 
 @dataclass(slots=True, eq=False)
@@ -47,41 +47,41 @@
 
     number: int
     version: Version = ABSENT
-    members: dict[tuple[JobRef, int], tuple[Job, Chunk]] = field(default_factory=dict)
+    entries: dict[tuple[JobRef, int], tuple[Job, Chunk]] = field(default_factory=dict)
     size: int = 0
     dirty: bool = False
-    urgent: Priority | None = None
+    start_priority: Priority | None = None
     """The highest priority among the starts that wait for it to be written."""
-    urgent_since: Seconds = LONG_AGO
-    closing: bool = False
+    start_waiting_since: Seconds = LONG_AGO
+    removal_pending: bool = False
     """Its removal is on the way: nothing is entered any more."""
-    chunk_length: int = CHUNK
+    chunk_length: int = DEFAULT_CHUNK_LENGTH
 
     @property
     def key(self) -> str:
         """Its key in the store."""
         return f"{PLACEMENTS}{self.number}"
 
-    def want(self, priority: Priority | None, now: Seconds) -> None:
+    def mark_changed(self, priority: Priority | None, now: Seconds) -> None:
         """Something in it changed; with a priority, a start waits for it."""
         self.dirty = True
         if priority is None:
             return
-        if self.urgent is None:
-            self.urgent_since = now
-            self.urgent = priority
+        if self.start_priority is None:
+            self.start_waiting_since = now
+            self.start_priority = priority
         else:
-            self.urgent = max(self.urgent, priority)
+            self.start_priority = max(self.start_priority, priority)
 
     def value(self) -> Record:
         """What is stored under it."""
         jobs = [
             [ref, number, *job.chunk_record(chunk)]
-            for (ref, number), (job, chunk) in self.members.items()
+            for (ref, number), (job, chunk) in self.entries.items()
         ]
         return (
             {"jobs": jobs}
-            if self.chunk_length == CHUNK
+            if self.chunk_length == DEFAULT_CHUNK_LENGTH
             else {"jobs": jobs, "span": self.chunk_length}
         )
 
@@ -101,8 +101,9 @@
 
     def __init__(self, value_kb: float, txn_ops: int, cut: bool) -> None:
         """`cut`: whether chunks may be cut to fit a value, as no older version reads them."""
-        self.chunk_length = chunk_length_for(value_kb) if cut else CHUNK
-        self._most_bytes = int(value_kb * 1024 * (FULL if self.chunk_length < CHUNK else FILL))
+        self.chunk_length = chunk_length_for(value_kb) if cut else DEFAULT_CHUNK_LENGTH
+        share = FULL if self.chunk_length < DEFAULT_CHUNK_LENGTH else FILL
+        self._most_bytes = int(value_kb * 1024 * share)
         # A transaction compares the live record of each job that starts something.
         self._most_members = 2 * txn_ops
         self._records: dict[int, PlacementRecord] = {}
@@ -118,7 +119,7 @@
         for item in sorted(items, key=lambda item: item.version):
             number = int(item.key.removeprefix(PLACEMENTS))
             self._next = max(self._next, number + 1)
-            chunk_length = item.value.get("span", CHUNK)
+            chunk_length = item.value.get("span", DEFAULT_CHUNK_LENGTH)
             old = Superseded(item.key, item.version)
             if chunk_length == self.chunk_length:
                 self._records[number] = PlacementRecord(
@@ -134,33 +135,33 @@
                     part * chunk_length, (part + 1) * chunk_length, done, rows
                 ):
                     if chunk_length == self.chunk_length:
-                        self._leave(job, chunk)
-                        chunk.record = number
-                        self._enter(self._records[number], job, chunk)
+                        self._detach(job, chunk)
+                        chunk.record_number = number
+                        self._attach(self._records[number], job, chunk)
                     else:
                         # One of ours may hold tasks of several of such a length: what other
                         # records say of it stays of worth until it is written anew.
                         old.waiting.add((job.ref, chunk.number))
         for ref, part in {key for old in self._superseded for key in old.waiting}:
-            self.of(jobs[ref], jobs[ref].chunks[part]).want(None, LONG_AGO)
+            self.record_for(jobs[ref], jobs[ref].chunks[part]).mark_changed(None, LONG_AGO)
 
-    def _leave(self, job: Job, chunk: Chunk) -> None:
+    def _detach(self, job: Job, chunk: Chunk) -> None:
         """All that was known of it before is out of date."""
         for old in self._superseded:
             old.waiting.discard((job.ref, chunk.number))
-        if chunk.record is not None:
-            record = self._records[chunk.record]
-            del record.members[job.ref, chunk.number]
+        if chunk.record_number is not None:
+            record = self._records[chunk.record_number]
+            del record.entries[job.ref, chunk.number]
             record.size -= self._bytes(job)
-            chunk.record = None
+            chunk.record_number = None
 
-    def written(self, chunks: Iterable[tuple[Job, Chunk]]) -> None:
+    def mark_rewritten(self, chunks: Iterable[tuple[Job, Chunk]]) -> None:
         """These chunks are on record in our length."""
         keys = {(job.ref, chunk.number) for job, chunk in chunks}
         for old in self._superseded:
             old.waiting -= keys
 
-    def superseded(self) -> list[tuple[str, Version]]:
+    def take_rewritten(self) -> list[tuple[str, Version]]:
         """Records of which all is written anew: they can be removed."""
         found = [(old.key, old.version) for old in self._superseded if not old.waiting]
         self._superseded = [old for old in self._superseded if old.waiting]
@@ -169,52 +170,60 @@
     def _bytes(self, job: Job) -> int:
         return CHUNK_BYTES + TASK_BYTES * min(self.chunk_length, job.spec.tasks)
 
-    def _enter(self, record: PlacementRecord, job: Job, chunk: Chunk) -> None:
-        record.members[job.ref, chunk.number] = job, chunk
+    def _attach(self, record: PlacementRecord, job: Job, chunk: Chunk) -> None:
+        record.entries[job.ref, chunk.number] = job, chunk
         record.size += self._bytes(job)
 
-    def of(self, job: Job, chunk: Chunk) -> PlacementRecord:
+    def record_for(self, job: Job, chunk: Chunk) -> PlacementRecord:
         """The record that keeps the chunk: the one it is in, or one that has room."""
-        if chunk.record is not None:
-            return self._records[chunk.record]
+        if chunk.record_number is not None:
+            return self._records[chunk.record_number]
         size = self._bytes(job)
-        record = next((r for r in self._records.values() if self._has_room(r, size)), None)
+        record = next((r for r in self._records.values() if self._has_capacity(r, size)), None)
         if record is None:
             record = PlacementRecord(self._next, chunk_length=self.chunk_length)
             self._records[record.number] = record
             self._next += 1
-        chunk.record = record.number
-        self._enter(record, job, chunk)
+        chunk.record_number = record.number
+        self._attach(record, job, chunk)
         return record
 
-    def _has_room(self, record: PlacementRecord, size: int) -> bool:
+    def _has_capacity(self, record: PlacementRecord, size: int) -> bool:
         return (
-            not record.closing
-            and len(record.members) < self._most_members
+            not record.removal_pending
+            and len(record.entries) < self._most_members
             and record.size + size <= self._most_bytes
         )
 
-    def forget(self, job: Job) -> None:
+    def remove_job(self, job: Job) -> None:
         """The job has ended."""
-        self.written((job, chunk) for chunk in job.chunks.values())
+        self.mark_rewritten((job, chunk) for chunk in job.chunks.values())
         for chunk in job.chunks.values():
-            if chunk.record is not None:
-                record = self._records[chunk.record]
-                del record.members[job.ref, chunk.number]
+            if chunk.record_number is not None:
+                record = self._records[chunk.record_number]
+                del record.entries[job.ref, chunk.number]
                 record.size -= self._bytes(job)
 
-    def urgent(self, now: Seconds) -> list[PlacementRecord]:
+    def awaited_by_starts(self, now: Seconds) -> list[PlacementRecord]:
         """Those that starts wait for, in the order in which they are to be written."""
-        waiting = [r for r in self._records.values() if r.urgent is not None]
+        waiting = [r for r in self._records.values() if r.start_priority is not None]
         return sorted(
             waiting,
-            key=lambda r: (now - r.urgent_since < OVERDUE_S, -(r.urgent or 0), r.urgent_since),
+            key=lambda r: (
+                now - r.start_waiting_since < OVERDUE_S,
+                -(r.start_priority or 0),
+                r.start_waiting_since,
+            ),
         )
 
-    def lazy(self) -> list[PlacementRecord]:
+    def deferrable(self) -> list[PlacementRecord]:
         """Those that can wait, a removal being one that changes nothing any more."""
-        return [r for r in self._records.values() if r.dirty or (not r.members and not r.closing)]
+        return [
+            r
+            for r in self._records.values()
+            if r.dirty or (not r.entries and not r.removal_pending)
+        ]
 
-    def removed(self, record: PlacementRecord) -> None:
+    def remove_record(self, record: PlacementRecord) -> None:
         """The record is gone from the store."""
         del self._records[record.number]
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -53,7 +53,7 @@
     machines = [Machine(MachineId(f"m-{n}"), TYPES[1], Zone("a"), True) for n in range(count)]
     for one in machines:
         one.used_cpus = 8.0
-        one.up = True
+        one.has_sent_heartbeat = True
     return machines
 
 
--- a/tests/gangs.py
+++ b/tests/gangs.py
@@ -73,7 +73,7 @@
     for allocation in one.allocations.values():
         allocation.recorded = True
     for chunk in gang.chunks.values():
-        chunk.recorded = chunk.entered()
+        chunk.recorded = chunk.known_placements()
 
 
 def starts_for(term: Term, one: Machine) -> list[StartOrder]:
@@ -87,7 +87,7 @@
     records = PlacementRecords(16.0, 8, True)
     for _ in range(on_record):
         task, _ = before.place(MachineId("m-0"), AgentEpoch(1))
-        records.of(before, before.chunk_of(task.number))
+        records.record_for(before, before.chunk_of(task.number))
     live = Item(
         "live/job-g", live_record(before.spec, WallTime(-40.0), cancelled=False), Version(3)
     )
@@ -107,9 +107,9 @@
     term.leader.placer.place_gang(gang, [machines[0], *[machines[1]] * (tasks - 1)])
     for one in machines:
         for allocation in one.allocations.values():
-            allocation.recorded = allocation.sent = True
+            allocation.recorded = allocation.start_sent = True
     for chunk in gang.chunks.values():
-        chunk.recorded = chunk.entered()
+        chunk.recorded = chunk.known_placements()
     term.hear((1, 2), tasks=(reported(0, "waiting"),))
     term.hear((1, 2), machine="m-1", tasks=(reported(1, "fetching"),))
     machines[0].used_cpus = machines[0].type.cpus
--- a/tests/term.py
+++ b/tests/term.py
@@ -95,6 +95,6 @@
     spec = job("job-1", tasks=1, estimate_s=estimate_s)
     before = Job(spec, Version(3), Seconds(0.0))
     before.place(MachineId("m-0"), AgentEpoch(agent_epoch))
-    record = PlacementRecords(16.0, 8, True).of(before, before.chunk_of(0))
+    record = PlacementRecords(16.0, 8, True).record_for(before, before.chunk_of(0))
     live = Item(live_key(spec.ref), live_record(spec, WallTime(-40.0), cancelled=False), Version(3))
     return [live], [Item(record.key, record.value(), Version(4))]
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -80,7 +80,7 @@
     ("done", heartbeats.DONE),
     ("stopped", heartbeats.STOPPED),
     ("error", heartbeats.ERROR),
-    ("no_room", heartbeats.NO_ROOM),
+    ("no_room", heartbeats.NO_CAPACITY),
     ("mates_gone", heartbeats.GANG_MEMBER_LOST),
     ("incomplete", heartbeats.INCOMPLETE),
     ("busy", "busy"),
@@ -278,13 +278,13 @@
         JobView(
             spec=SPEC,
             age_s=1.5,
-            waiting=2,
+            waiting_tasks=2,
             failed_on=(MachineId("m-3"), MachineId("m-4")),
             zones={Zone("north"): 5},
             at_risk=True,
         ),
     ),
-    rooms=(
+    machines=(
         MachineView(
             machine=MachineId("m-1"),
             type=TypeName("small"),
@@ -299,7 +299,7 @@
     ),
     shares={Team("red"): (6.0, 8.0)},
     reserve=0.5,
-    factors={"nightly": 1.25},
+    estimate_factors={"nightly": 1.25},
 )
 PLAIN_VIEW: list[Any] = [
     7,
--- a/tests/test_encoded_jobs.py
+++ b/tests/test_encoded_jobs.py
@@ -24,12 +24,12 @@
 from crosscleat.core.model.store_calls import (
     Commit,
     Committed,
-    Found,
     Item,
-    Listing,
     Put,
     Read,
+    ReadResult,
     Scan,
+    ScanResult,
 )
 from crosscleat.core.state.decommission_records import DecommissionRecords
 from crosscleat.core.state.job_records import ended_record, live_record, spec_of
@@ -148,7 +148,9 @@
     scan = only(out, Scan)
     assert scan.prefix == "live/"
     scan.continuation(
-        Listing([Item("live/job-000412", {**LIVE, "aborted": cancelled}, Version(7))], Version(8))
+        ScanResult(
+            [Item("live/job-000412", {**LIVE, "aborted": cancelled}, Version(7))], Version(8)
+        )
     )
     answer = answered(out)
     assert (answer.status, answer.body) == (200, body)
@@ -158,11 +160,11 @@
 def test_an_ended_job_is_answered(cancelled: bool, body: Any) -> None:
     requests, out = user_requests()
     requests.query(1, REF)
-    only(out, Scan).continuation(Listing([], Version(8)))
+    only(out, Scan).continuation(ScanResult([], Version(8)))
     read = only(out, Read)
     assert read.key == "ended/job-000412"
     item = Item("ended/job-000412", {"tasks": 3, "aborted": cancelled}, Version(7))
-    read.continuation(Found(item, Version(8)))
+    read.continuation(ReadResult(item, Version(8)))
     answer = answered(out)
     assert (answer.status, answer.body) == (200, body)
 
@@ -172,7 +174,7 @@
     requests.cancel(1, REF)
     read = only(out, Read)
     assert read.key == "live/job-000412"
-    read.continuation(Found(Item("live/job-000412", LIVE, Version(7)), Version(8)))
+    read.continuation(ReadResult(Item("live/job-000412", LIVE, Version(7)), Version(8)))
     commit = only(out, Commit)
     assert commit.conditions == (("live/job-000412", 7),)
     (write,) = commit.writes
@@ -238,7 +240,7 @@
     decommission_records = DecommissionRecords(16.0)
     stored = {"machines": ["m-1", "m-2"]}
     assert decommission_records.load([Item("drop/4", stored, Version(2))]) == ["m-1", "m-2"]
-    record, _ = decommission_records.open()
+    record, _ = decommission_records.with_capacity()
     more = {"machines": ["m-1", "m-2", "m-3"]}
     assert record.put([MachineId("m-3")]) == Put("drop/4", more)
 
@@ -259,7 +261,7 @@
     (record,) = records
     assert (record.key, record.value()) == ("work/7", SHORT_CHUNKS)
     assert [index for index in range(47) if one.done[index]] == [0, 42, 43, 45]
-    assert one.chunks[0].tries == {1: 4, 2: 5}
+    assert one.chunks[0].attempts == {1: 4, 2: 5}
     placement = one.chunks[1].placed[46]
     assert (placement.attempt, placement.machine, placement.agent_epoch) == (7, "m-000007", 8)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -48,7 +48,7 @@
     late = Machine(MachineId("m-0"), TYPES[1], Zone("a"), True, created_at=Seconds(NOW - 12.0))
     work = [waiting(30.0, tasks=4, cpus=2.0)]
     assert next_request(fleet(), work, [late]) is not None
-    late.listed_running = True
+    late.listed_as_running = True
     assert next_request(fleet(), work, [late]) is None, "it is up, only not heard from in this term"
 
 
@@ -57,7 +57,7 @@
     spot = Machine(MachineId("m-0"), TYPES[1], Zone("a"), True)
     expensive = Machine(MachineId("m-1"), TYPES[1], Zone("a"), False)
     for one in (spot, expensive):
-        one.up = True
+        one.has_sent_heartbeat = True
         one.idle_since = Seconds(NOW - 10.0)
     for at in range(100):
         made.targets.demand.sample(8.0, Seconds(NOW - 100.0 + at))
--- a/tests/test_gang_attempts.py
+++ b/tests/test_gang_attempts.py
@@ -72,7 +72,7 @@
     one = next(iter(term.leader.cluster.machines.values()))
     term.leader.placer.place_gang(gang, [one, one])
     for allocation in one.allocations.values():
-        allocation.recorded = allocation.sent = allocation.listed = True
+        allocation.recorded = allocation.start_sent = allocation.in_last_heartbeat = True
     term.leader.attempts.stop_gang(gang, 5.0)
     stops = [o for o in term.leader.commands.orders(one, term.now, 1) if isinstance(o, StopOrder)]
     assert [stop.grace_s for stop in stops] == [5.0, 5.0]
--- a/tests/test_gang_notices.py
+++ b/tests/test_gang_notices.py
@@ -32,12 +32,12 @@
 def test_a_gang_stop_waits_for_an_unreachable_machine_while_the_reclaim_notice_lasts() -> None:
     term, _ = running_on_two()
     far = term.leader.cluster.machines[MachineId("m-0")]
-    far.direct_after = Seconds(term.now + 100.0)
+    far.direct_paused_until = Seconds(term.now + 100.0)
     far.unresponsive_since = term.now
     notice(term, "m-1", 4, 8.0, (reported(1, "running"),))
     assert stops(term) == {}, "a stop that reaches one of them alone saves nothing"
     term.step(2.0)
-    far.unresponsive_since, far.direct_after = None, Seconds(0.0)
+    far.unresponsive_since, far.direct_paused_until = None, Seconds(0.0)
     term.hear((1, 5), tasks=(reported(0, "running"),))
     term.leader.watch_machines(term.now)
     assert stops(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
@@ -46,7 +46,7 @@
 def test_at_the_last_useful_moment_of_a_reclaim_notice_the_gang_ends_unsaved() -> None:
     term, _ = running_on_two()
     far = term.leader.cluster.machines[MachineId("m-0")]
-    far.direct_after, far.unresponsive_since = Seconds(term.now + 100.0), term.now
+    far.direct_paused_until, far.unresponsive_since = Seconds(term.now + 100.0), term.now
     notice(term, "m-1", 4, 8.0, (reported(1, "running"),))
     term.step(5.5)
     term.hear((1, 5), machine="m-1", tasks=(reported(1, "running"),))
--- a/tests/test_gang_progress.py
+++ b/tests/test_gang_progress.py
@@ -18,19 +18,19 @@
 def test_progress_is_what_a_saved_exit_proves_or_the_last_checkpoint() -> None:
     spec = job("job-g", shape=Shape.GANG, checkpoint_s=10.0, save_s=2.0)
     progress = GangProgress()
-    progress.runs(Seconds(100.0))
-    progress.stops(Seconds(117.0))
+    progress.mark_running(Seconds(100.0))
+    progress.mark_stopping(Seconds(117.0))
     progress.end_attempt(spec, Seconds(121.0), saved=True)
     assert progress.saved_s == 17.0, "it ends with the first stop"
     progress.end_attempt(spec, Seconds(122.0), saved=True)
     progress.begin_attempt(spec)
     assert progress.saved_s == 17.0, "the others' exits add nothing"
-    progress.runs(Seconds(130.0))
-    progress.stops(Seconds(136.0))
+    progress.mark_running(Seconds(130.0))
+    progress.mark_stopping(Seconds(136.0))
     progress.begin_attempt(spec)
     assert progress.saved_s == 20.0, "a checkpoint is at a multiple of the job's own progress"
-    progress.runs(Seconds(140.0))
-    progress.stops(Seconds(145.0))
+    progress.mark_running(Seconds(140.0))
+    progress.mark_stopping(Seconds(145.0))
     progress.begin_attempt(spec)
     assert progress.saved_s == 20.0
 
--- a/tests/test_gang_replacement.py
+++ b/tests/test_gang_replacement.py
@@ -20,10 +20,10 @@
     term.leader.finish_step(term.now)
     assert places(term) == {"m-0": [(0, 1)], "m-1": [], "m-2": [(1, 1)]}
     moved = next(iter(term.leader.cluster.machines[MachineId("m-2")].allocations.values()))
-    assert not moved.recorded and not gang.whole, "its new place is not on record yet"
+    assert not moved.recorded and not gang.fully_recorded, "its new place is not on record yet"
     commit = next(effect for effect in term.out.take() if isinstance(effect, Commit))
     commit.continuation(Committed(Version(11)))
-    assert moved.recorded and gang.whole
+    assert moved.recorded and gang.fully_recorded
     term.leader.finish_step(term.now)
     sent = [effect for effect in term.out.take() if isinstance(effect, DirectCommand)]
     starts = [o for effect in sent for o in effect.orders if isinstance(o, StartOrder)]
@@ -34,7 +34,7 @@
     term, gang = placed_on_two()
     term.hear((1, 3), machine="m-1", tasks=(reported(1, "exited", "no_room"),))
     term.step(1.0)
-    term.leader.cluster.machines[MachineId("m-1")].full_until = Seconds(0.0)
+    term.leader.cluster.machines[MachineId("m-1")].placement_paused_until = Seconds(0.0)
     term.leader.finish_step(term.now)
     assert gang.progress.stopped_at is not None, "there is no other, so the attempt ends"
 
--- a/tests/test_interruptions.py
+++ b/tests/test_interruptions.py
@@ -84,7 +84,10 @@
 def test_on_demand_machines_are_kept_for_work_that_is_nearly_always_at_risk() -> None:
     types = {machine_type.name: machine_type for machine_type in TYPES}
     made = Fleet(TuningOptions(headroom=0.0, swings=0.0), types, FixedTarget(60.0))
-    spot = [Machine(MachineId(f"m-{n}"), TYPES[1], Zone("a"), True, up=True) for n in range(10)]
+    spot = [
+        Machine(MachineId(f"m-{n}"), TYPES[1], Zone("a"), True, has_sent_heartbeat=True)
+        for n in range(10)
+    ]
 
     def request(at: float, at_risk_cpus: float) -> ScaleOutRequest | None:
         use = CpuUse({Team("blue"): 60.0}, at_risk=at_risk_cpus)
@@ -97,7 +100,7 @@
     assert all(one is not None and not one.pool.spot for one in found)
     own = [Machine(MachineId(f"o-{n}"), TYPES[1], Zone("a"), False) for n in range(5)]
     for one in own:
-        one.up = True
+        one.has_sent_heartbeat = True
         one.created_at = one.idle_since = Seconds(1.0)
     made.targets.demand = Demand()
     made.targets.demand.sample(0.0, Seconds(NOW + 310.0))
--- a/tests/test_isolated.py
+++ b/tests/test_isolated.py
@@ -88,14 +88,14 @@
 def test_a_placement_is_void_once_the_job_is_cancelled_or_the_leader_replaced() -> None:
     held = Job(job("job-1", priority=Priority.HIGH), Version(7), Seconds(0.0))
     held.place(MachineId("m-1"), AgentEpoch(1))
-    record = PlacementRecords(16.0, 8, True).of(held, held.chunk_of(0))
+    record = PlacementRecords(16.0, 8, True).record_for(held, held.chunk_of(0))
     batch = Batch(41, 8)
-    batch.record(record)
+    batch.add_record(record)
     assert batch.conditions["leader"] == 41
     assert batch.conditions[live_key(held.ref)] == 7
     assert batch.conditions["work/1"] == 0
     done = Batch(41, 8)
-    done.end(held)
+    done.end_job(held)
     assert done.conditions == {"leader": 41, live_key(held.ref): 7}
 
 
--- a/tests/test_leader_without_workers.py
+++ b/tests/test_leader_without_workers.py
@@ -41,8 +41,8 @@
     types = term.leader.fleet.types
     for n in range(100):
         one = Machine(MachineId(f"m-{n}"), types[TYPES[0].name], Zone("a"), True)
-        one.up = True
-        one.last_heard = one.created_at = term.now
+        one.has_sent_heartbeat = True
+        one.last_heartbeat_at = one.created_at = term.now
         term.leader.cluster.machines[one.id] = one
     # A process that stood still for a while has not listened: that is no silence.
     term.step(4.0)
@@ -58,13 +58,13 @@
     term = Term()
     for n in range(10):
         one = Machine(MachineId(f"m-{n}"), TYPES[0], Zone("a"), True)
-        one.up = True
-        one.last_heard = one.created_at = term.now
+        one.has_sent_heartbeat = True
+        one.last_heartbeat_at = one.created_at = term.now
         one.unresponsive_since = term.now
         term.leader.cluster.machines[one.id] = one
     term.step(2.5)
     for one in term.leader.cluster.machines.values():
-        one.last_heard = term.now
+        one.last_heartbeat_at = term.now
     term.leader.tick(term.now)
     assert term.lost == ["no worker receives our answers"]
     assert not any(one.decommissioning for one in term.leader.cluster.machines.values())
--- a/tests/test_new_leader.py
+++ b/tests/test_new_leader.py
@@ -32,7 +32,11 @@
 
 def returned(term: Term) -> set[str]:
     machines = term.leader.cluster.machines.values()
-    return {machine.id for machine in machines if machine.decommissioning and not machine.up}
+    return {
+        machine.id
+        for machine in machines
+        if machine.decommissioning and not machine.has_sent_heartbeat
+    }
 
 
 def test_running_machines_that_are_cut_off_from_a_new_leader_are_not_returned_as_never_up() -> None:
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -139,7 +139,7 @@
     cluster = Cluster(1)
     one = cluster.machines[0]
     first, second = cluster.run("job-0", one)
-    first.sent = second.sent = second.listed = True
+    first.start_sent = second.start_sent = second.in_last_heartbeat = True
     assert cluster.preempt(urgent(tasks=2)) == [Victim(one, second)]
 
 
@@ -148,12 +148,12 @@
     one = cluster.machines[0]
     for allocation in cluster.run("job-0", one):
         cluster.cluster.remove(one, allocation)
-    assert list(cluster.cluster.running()) == []
+    assert list(cluster.cluster.machines_by_team()) == []
     stray = Allocation(
         TaskId(JobRef("job-9"), 0), Attempt(1), job("job-9"), one.id, one.zone, AgentEpoch(1)
     )
     cluster.cluster.remove(one, stray)
-    assert list(cluster.cluster.running()) == []
+    assert list(cluster.cluster.machines_by_team()) == []
 
 
 # Backfill
@@ -176,7 +176,7 @@
     # Long overdue, so that it is worth less than backfill that just came.
     late = waiting("job-l", team=Team("red"), tasks=4)
     late.submitted = Seconds(NOW - 99.0)
-    late.fresh = 1
+    late.first_untried = 1
     chosen = [choice.job for choice in plan([backfill, late], [machine("m-0")])]
     assert chosen == ["job-l", "job-l", "job-l", "job-b"]
     backfill.submitted = Seconds(NOW - 101.0)
@@ -214,7 +214,7 @@
     cluster = Cluster(1)
     spot, expensive = cluster.machines[0], machine("m-1", spot=False)
     for one in (spot, expensive):
-        one.up = True
+        one.has_sent_heartbeat = True
         cluster.run(f"job-{one.id}", one, team=GUEST.name)
     assert made.scale_in_candidates([spot, expensive], teams, NOW) == [expensive]
     cluster.run("job-x", expensive, team=Team("blue"))
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -21,7 +21,7 @@
 from crosscleat.core.model.store_calls import Item, Put
 from crosscleat.core.state.batch import Batch
 from crosscleat.core.state.decommission_records import DecommissionRecords
-from crosscleat.core.state.jobs import CHUNK, Job
+from crosscleat.core.state.jobs import DEFAULT_CHUNK_LENGTH, Job
 from crosscleat.core.state.placement_records import PlacementRecords
 
 from .world import job
@@ -40,7 +40,7 @@
 
 def place(records: PlacementRecords, one: Job) -> tuple[int, Attempt]:
     task, attempt = one.place(MACHINE, AgentEpoch(2))
-    records.of(one, one.chunk_of(task.number)).want(one.spec.priority, NOW)
+    records.record_for(one, one.chunk_of(task.number)).mark_changed(one.spec.priority, NOW)
     return task.number, attempt
 
 
@@ -51,7 +51,7 @@
     ]
 
 
-@given(st.lists(st.integers(1, 3 * CHUNK), min_size=1, max_size=12), st.data())
+@given(st.lists(st.integers(1, 3 * DEFAULT_CHUNK_LENGTH), min_size=1, max_size=12), st.data())
 def test_tasks_survive_a_failover(sizes: list[int], data: st.DataObject) -> None:
     before = {JobRef(f"job-{n}"): waiting(f"job-{n}", tasks=size) for n, size in enumerate(sizes)}
     records = PlacementRecords(VALUE_KB, TXN_OPS, True)
@@ -70,22 +70,24 @@
     again = PlacementRecords(VALUE_KB, TXN_OPS, True)
     again.load(items, after)
     for ref, one in after.items():
-        one.loaded()
+        one.finish_loading()
         old = before[ref]
         assert one.done == old.done and one.done_count == old.done_count
         assert one.placed_count() == old.placed_count()
         assert one.waiting_count() == old.waiting_count()
         for number, chunk in old.chunks.items():
-            assert {i: t for i, t in chunk.tries.items() if i in chunk.placed} == {
+            assert {i: t for i, t in chunk.attempts.items() if i in chunk.placed} == {
                 i: p.attempt for i, p in one.chunks[number].placed.items()
             }
             # An attempt's number is never given twice, in whatever term.
-            for index, attempt in chunk.tries.items():
-                assert one.chunks[number].tries.get(index) == attempt or old.done[index]
-    assert all(ref != ended for r in again for ref, _ in r.members)
+            for index, attempt in chunk.attempts.items():
+                assert one.chunks[number].attempts.get(index) == attempt or old.done[index]
+    assert all(ref != ended for r in again for ref, _ in r.entries)
 
 
-@given(st.lists(st.tuples(st.integers(1, 3 * CHUNK), st.integers(0, 60)), max_size=40))
+@given(
+    st.lists(st.tuples(st.integers(1, 3 * DEFAULT_CHUNK_LENGTH), st.integers(0, 60)), max_size=40)
+)
 def test_no_value_and_no_transaction_is_too_large(jobs: list[tuple[int, int]]) -> None:
     records = PlacementRecords(VALUE_KB, TXN_OPS, True)
     for n, (tasks, placed) in enumerate(jobs):
@@ -98,27 +100,29 @@
     for record in records:
         assert len(msgspec.json.encode(record.value())) <= VALUE_KB * 1024
     batch = Batch(7, TXN_OPS)
-    for record in records.urgent(NOW):
-        batch.record(record)
+    for record in records.awaited_by_starts(NOW):
+        batch.add_record(record)
     assert bool(batch.writes) == bool(list(records))
     assert len(batch.writes) <= TXN_OPS and len(batch.conditions) <= 4 * TXN_OPS
     puts = [write for write in batch.writes if isinstance(write, Put)]
     assert len(puts) == len(batch.writes)
     assert len(msgspec.json.encode([put.value for put in puts])) <= 56 * 1024
     for one_job, chunk, _ in batch.chunks:
-        assert not chunk.unrecorded() or one_job in batch.jobs, "a start without its job compared"
+        assert not chunk.has_unrecorded() or one_job in batch.compared_jobs, (
+            "a start without its job compared"
+        )
 
 
 def test_urgent_starts_are_written_first_but_none_waits_for_ever() -> None:
     records = PlacementRecords(VALUE_KB, TXN_OPS, True)
-    slow = waiting("job-slow", tasks=CHUNK, priority=Priority.LOW)
-    soon = waiting("job-soon", tasks=CHUNK, priority=Priority.HIGH)
+    slow = waiting("job-slow", tasks=DEFAULT_CHUNK_LENGTH, priority=Priority.LOW)
+    soon = waiting("job-soon", tasks=DEFAULT_CHUNK_LENGTH, priority=Priority.HIGH)
     place(records, slow)
     place(records, soon)
-    order = [[ref for ref, _ in r.members] for r in records.urgent(NOW)]
+    order = [[ref for ref, _ in r.entries] for r in records.awaited_by_starts(NOW)]
     assert order == [["job-soon"], ["job-slow"]]
-    next(iter(records)).urgent_since = Seconds(NOW - 2.0)
-    order = [[ref for ref, _ in r.members] for r in records.urgent(NOW)]
+    next(iter(records)).start_waiting_since = Seconds(NOW - 2.0)
+    order = [[ref for ref, _ in r.entries] for r in records.awaited_by_starts(NOW)]
     assert order == [["job-slow"], ["job-soon"]]
 
 
@@ -127,24 +131,24 @@
     one = waiting("job-1")
     place(records, one)
     (record,) = records
-    records.forget(one)
-    assert records.lazy() == [record] and record.size == 0
-    record.closing = True
+    records.remove_job(one)
+    assert records.deferrable() == [record] and record.size == 0
+    record.removal_pending = True
     other = waiting("job-2")
     place(records, other)
-    assert len(list(records)) == 2 and records.lazy() != [record]
+    assert len(list(records)) == 2 and records.deferrable() != [record]
 
 
 def test_deletions_survive_a_failover() -> None:
     decommission_records = DecommissionRecords(VALUE_KB)
-    record, _ = decommission_records.open()
+    record, _ = decommission_records.with_capacity()
     put = record.put([MachineId("m-1"), MachineId("m-2")])
     record.names.update({MachineId("m-1"): None, MachineId("m-2"): None})
     record.version = Version(5)
     later = DecommissionRecords(VALUE_KB)
     assert later.load([Item(put.key, put.value, Version(5))]) == ["m-1", "m-2"]
-    assert later.forget(MachineId("m-1")) is None
-    empty = later.forget(MachineId("m-2"))
+    assert later.remove_name(MachineId("m-1")) is None
+    empty = later.remove_name(MachineId("m-2"))
     assert empty is not None and empty.version == 5
-    fresh, _ = later.open()
+    fresh, _ = later.with_capacity()
     assert fresh.version == ABSENT and fresh.key != put.key
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -15,7 +15,7 @@
     ERROR,
     GANG_MEMBER_LOST,
     INCOMPLETE,
-    NO_ROOM,
+    NO_CAPACITY,
     STOPPED,
 )
 from crosscleat.core.model.ids import JobRef, MachineId, Seconds, Version, Zone
@@ -55,15 +55,15 @@
 def test_a_refused_task_pauses_briefly_and_the_full_machine_for_longer() -> None:
     one, machine = job_of(1), machine_of(0)
 
-    assert retries_of(one).not_before(machine, one, 0, NO_ROOM) == BEGAN + REFUSED_PAUSE_S
-    assert machine.full_until == BEGAN + FULL_PAUSE_S
+    assert retries_of(one).not_before(machine, one, 0, NO_CAPACITY) == BEGAN + REFUSED_PAUSE_S
+    assert machine.placement_paused_until == BEGAN + FULL_PAUSE_S
 
 
 def test_a_refused_gang_member_is_placed_again_at_once_as_the_others_may_wait() -> None:
     gang, machine = job_of(1, Shape.GANG), machine_of(0)
 
-    assert retries_of(gang).not_before(machine, gang, 0, NO_ROOM) is None
-    assert machine.full_until == BEGAN + FULL_PAUSE_S
+    assert retries_of(gang).not_before(machine, gang, 0, NO_CAPACITY) is None
+    assert machine.placement_paused_until == BEGAN + FULL_PAUSE_S
 
 
 def test_pauses_double_with_each_failure_up_to_a_limit() -> None:
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -97,7 +97,14 @@
     waiting_job = waiting("job-1")
     task, attempt = waiting_job.place(one.id, AgentEpoch(1))
     allocation = Allocation(
-        task, attempt, spec, one.id, one.zone, AgentEpoch(1), sent=True, answered_at=5
+        task,
+        attempt,
+        spec,
+        one.id,
+        one.zone,
+        AgentEpoch(1),
+        start_sent=True,
+        start_sent_at_sequence=5,
     )
     one.shown_token, one.pending_start_token, one.heartbeat_sequence = 7, 6, 6
     assert not one.may_still_start(allocation)
@@ -107,7 +114,7 @@
     assert one.may_still_start(allocation), "a direct start was lost under the present token"
     one.pending_start_token, one.direct_in_flight = 6, True
     assert one.may_still_start(allocation)
-    allocation.sent = False
+    allocation.start_sent = False
     assert not one.may_still_start(allocation)
 
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -78,7 +78,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     jobs, machines = flooded()
-    allowed = counted(monkeypatch, Machine, "allowed")
+    allowed = counted(monkeypatch, Machine, "allows")
     ranked = counted(monkeypatch, Feasibility, "admits")
     scorer = Scorer(deployment("c0"), RunTimes())
     planned = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1)).plan(
@@ -95,7 +95,7 @@
 ) -> None:
     jobs, machines = flooded()
     for machine in machines:
-        machine.up = True
+        machine.has_sent_heartbeat = True
     taken = counted(monkeypatch, FreeCapacity, "take_up_to")
     types = {machine_type.name: machine_type for machine_type in TYPES}
     fleet = Fleet(TuningOptions(), types, FixedTarget(60.0))
@@ -188,7 +188,7 @@
     for _ in range(60):
         term.step(0.1)
         for machine in term.leader.cluster.machines.values():
-            machine.last_heard = term.now
+            machine.last_heartbeat_at = term.now
         term.leader.pending.cycle_wanted = True
         term.leader.tick(term.now)
         term.leader.finish_step(term.now)
@@ -250,9 +250,9 @@
         )
         term.leader.cluster.add(machine, allocation)
     for chunk in gang.chunks.values():
-        chunk.recorded = chunk.entered()
+        chunk.recorded = chunk.known_placements()
     found = counted(monkeypatch, ClusterState, "find")
-    unrecorded = counted(monkeypatch, Chunk, "unrecorded")
+    unrecorded = counted(monkeypatch, Chunk, "has_unrecorded")
     term.leader.write_outcomes.placements_recorded(gang, list(range(spec.tasks)))
     term.leader.commands.send_direct(term.now)
     assert sum(len(e.orders) for e in term.out.take() if isinstance(e, DirectCommand)) == spec.tasks
--- a/tests/test_stale_heartbeats.py
+++ b/tests/test_stale_heartbeats.py
@@ -45,10 +45,14 @@
     term.hear((1, 40))
     term.step(3.0)
     machine = term.leader.cluster.machines[MachineId("m-0")]
-    before = (machine.last_heard, machine.last_answer, machine.heartbeat_id)
+    before = (machine.last_heartbeat_at, machine.last_possible_renewal, machine.heartbeat_id)
     for seen in ((1, 40), (1, 7)):
         assert term.hear(seen) == [Response(1, 503, None, 1)]
-    assert (machine.last_heard, machine.last_answer, machine.heartbeat_id) == before
+    assert (
+        machine.last_heartbeat_at,
+        machine.last_possible_renewal,
+        machine.heartbeat_id,
+    ) == before
 
 
 def test_heartbeats_delayed_by_a_cut_do_not_show_an_unresponsive_machine() -> None:
--- a/tests/test_task_reports.py
+++ b/tests/test_task_reports.py
@@ -85,7 +85,7 @@
     shell = Machine(MachineId("m-0"), UNKNOWN_TYPE, NOWHERE, False)
     task = TaskId(spec.ref, 0)
     allocation = Allocation(
-        task, Attempt(1), spec, shell.id, NOWHERE, AgentEpoch(1), recorded=True, sent=True
+        task, Attempt(1), spec, shell.id, NOWHERE, AgentEpoch(1), recorded=True, start_sent=True
     )
     cluster.add(shell, allocation)
     assert not cluster.zone_allows(spec, Zone("a")) and not cluster.zone_allows(spec, Zone("b"))
--- a/tests/test_unresponsive_workers.py
+++ b/tests/test_unresponsive_workers.py
@@ -86,13 +86,13 @@
     term = Term()
     for number in range(60):
         one = Machine(MachineId(f"m-{number}"), TYPES[0], Zone("ab"[number % 2]), True)
-        one.up = True
-        one.last_heard = one.created_at = term.now
+        one.has_sent_heartbeat = True
+        one.last_heartbeat_at = one.created_at = term.now
         term.leader.cluster.machines[one.id] = one
     for _ in range(int(LEASE_S / 0.1)):
         term.step(0.1)
         for number in range(2, 60, 2):
-            term.leader.cluster.machines[MachineId(f"m-{number}")].last_heard = term.now
+            term.leader.cluster.machines[MachineId(f"m-{number}")].last_heartbeat_at = term.now
         term.leader.tick(term.now)
     dropped = {m.id for m in term.leader.cluster.machines.values() if m.decommissioning}
     assert dropped == {"m-0"}, "the one in zone a; all of zone b may come back"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,10 +20,10 @@
     Version,
     WallTime,
 )
-from crosscleat.core.model.store_calls import Found, Item, Read
+from crosscleat.core.model.store_calls import Item, Read, ReadResult
 from crosscleat.core.state.decommission_records import DecommissionRecords
 from crosscleat.core.state.job_records import ended_record, live_record, spec_of
-from crosscleat.core.state.jobs import CHUNK, Job
+from crosscleat.core.state.jobs import DEFAULT_CHUNK_LENGTH, Job
 from crosscleat.core.state.placement_records import PlacementRecords
 from crosscleat.wire import peers
 
@@ -65,7 +65,7 @@
 def spread(records: PlacementRecords, one: Job, placed: int, done: int) -> None:
     for _ in range(placed):
         task, _ = one.place(MachineId("m-000007"), AgentEpoch(1))
-        records.of(one, one.chunk_of(task.number)).want(one.spec.priority, NOW)
+        records.record_for(one, one.chunk_of(task.number)).mark_changed(one.spec.priority, NOW)
     for index in range(done):
         one.finish(index)
 
@@ -80,9 +80,9 @@
     PlacementRecords(16.0, 8, True).load(items, jobs)
     wanted = read_by_394dfe6(WORK_394DFE6)
     for ref, one in jobs.items():
-        one.loaded()
+        one.finish_loading()
         assert state_of(one) == wanted[ref]
-    assert jobs[SPEC.ref].chunks[0].tries == {1: 1, 2: 1}
+    assert jobs[SPEC.ref].chunks[0].attempts == {1: 1, 2: 1}
     decommission_records = DecommissionRecords(16.0)
     assert decommission_records.load([Item("drop/1", {"machines": ["m-000009"]}, Version(2))]) == [
         "m-000009"
@@ -113,10 +113,10 @@
     for cancelled, status in ((False, "done"), (True, "aborted")):
         requests, out = user_requests()
         requests.cancel(1, JobRef("job-000412"))
-        only(out, Read).continuation(Found(None, Version(8)))
+        only(out, Read).continuation(ReadResult(None, Version(8)))
         record = {"tasks": 3, "aborted": cancelled}
         item = Item("ended/job-000412", record, Version(7))
-        only(out, Read).continuation(Found(item, Version(8)))
+        only(out, Read).continuation(ReadResult(item, Version(8)))
         answer = answered(out)
         assert answer.status == 200 and answer.body["status"] == status
 
@@ -130,7 +130,7 @@
         assert peers.encode_frame(message).hex() == sample
     part = peers.decode_message(bytes.fromhex(PART_394DFE6)[4:])
     assert peers.encode_frame(part).hex() == PART_394DFE6
-    decommission_records, room = DecommissionRecords(SMALL_KB).open()
+    decommission_records, room = DecommissionRecords(SMALL_KB).with_capacity()
     assert decommission_records.put([MachineId("m-000009")]).value == {"machines": ["m-000009"]}
     assert room >= 50
 
@@ -163,19 +163,19 @@
     small = PlacementRecords(SMALL_KB, SMALL_OPS, cut=True)
     after = {ref: Job(one.spec, Version(1), NOW, small.chunk_length) for ref, one in before.items()}
     small.load(items, after)
-    removable = small.superseded()
+    removable = small.take_rewritten()
     # Some are written anew, then the leader ends: the next one finds both, and the later holds.
     written = data.draw(st.integers(0, len(list(small))))
     part = stored(small, version=50)[:written]
     for record in list(small)[:written]:
         assert len(msgspec.json.encode(record.value())) <= SMALL_KB * 1024
-        small.written(list(record.members.values()))
-    removable += small.superseded()
+        small.mark_rewritten(list(record.entries.values()))
+    removable += small.take_rewritten()
     kept = [item for item in items if item.key not in {key for key, _ in removable}]
     changed = data.draw(st.booleans()) and bool(part)
     if changed:
         # What was rewritten has gone on since: a task of it is done.
-        (job_of, chunk), *_ = next(iter(small)).members.values()
+        (job_of, chunk), *_ = next(iter(small)).entries.values()
         for index in list(chunk.placed):
             job_of.finish(index)
         part[0] = stored(small, version=50)[0]
@@ -183,7 +183,7 @@
     again = {ref: Job(one.spec, Version(1), NOW, third.chunk_length) for ref, one in before.items()}
     third.load([*kept, *part], again)
     for ref, one in again.items():
-        one.loaded()
+        one.finish_loading()
         assert state_of(one) == state_of(after[ref])
         assert one.waiting_count() + one.placed_count() + one.done_count == one.spec.tasks
     if not changed:
@@ -200,15 +200,15 @@
     jobs = {one.ref: Job(one.spec, Version(1), NOW, small.chunk_length)}
     small.load(stored(old), jobs)
     records = list(small)
-    assert len(records) == 4 and small.superseded() == []
+    assert len(records) == 4 and small.take_rewritten() == []
     for record in records[:-1]:
-        small.written(list(record.members.values()))
-        assert small.superseded() == []
-    small.written(list(records[-1].members.values()))
-    assert small.superseded() == [("work/1", 9)]
+        small.mark_rewritten(list(record.entries.values()))
+        assert small.take_rewritten() == []
+    small.mark_rewritten(list(records[-1].entries.values()))
+    assert small.take_rewritten() == [("work/1", 9)]
 
 
 def test_a_chunk_of_two_hundred_is_cut_only_for_small_values() -> None:
-    assert PlacementRecords(16.0, 8, cut=True).chunk_length == CHUNK
+    assert PlacementRecords(16.0, 8, cut=True).chunk_length == DEFAULT_CHUNK_LENGTH
     assert PlacementRecords(SMALL_KB, SMALL_OPS, cut=True).chunk_length == 42
-    assert PlacementRecords(SMALL_KB, SMALL_OPS, cut=False).chunk_length == CHUNK
+    assert PlacementRecords(SMALL_KB, SMALL_OPS, cut=False).chunk_length == DEFAULT_CHUNK_LENGTH
--- a/tests/test_upgrade_coordination.py
+++ b/tests/test_upgrade_coordination.py
@@ -12,11 +12,11 @@
     Commit,
     Committed,
     Conflict,
-    Found,
     Item,
-    Listing,
     Read,
+    ReadResult,
     Scan,
+    ScanResult,
 )
 
 from .user_requests import user_requests
@@ -53,7 +53,7 @@
                     effect.continuation(done if self.answers else None)
                 elif isinstance(effect, Scan):
                     items = [Item(key, {"version": 2}, Version(1)) for key in sorted(self.keys)]
-                    effect.continuation(Listing(items, Version(1)) if self.answers else None)
+                    effect.continuation(ScanResult(items, Version(1)) if self.answers else None)
 
 
 def test_the_upgrade_is_complete_once_each_controller_has_put_its_key_even_after_restarts() -> None:
@@ -92,8 +92,8 @@
     assert not any(isinstance(effect, Commit) for effect in effects)
     # A repeat of one that was accepted is answered; what nobody knows is told when to come back.
     (scan,) = [effect for effect in effects if isinstance(effect, Scan)]
-    scan.continuation(Listing([], Version(1)))
+    scan.continuation(ScanResult([], Version(1)))
     (read,) = [effect for effect in out.take() if isinstance(effect, Read)]
-    read.continuation(Found(None, Version(1)))
+    read.continuation(ReadResult(None, Version(1)))
     (answer,) = [effect for effect in out.take() if isinstance(effect, Response)]
     assert answer.status == 503 and answer.retry_after_s == 1
--- a/tests/test_user_requests.py
+++ b/tests/test_user_requests.py
@@ -13,12 +13,12 @@
 from crosscleat.core.model.store_calls import (
     Commit,
     Conflict,
-    Found,
     Item,
-    Listing,
     Put,
     Read,
+    ReadResult,
     Scan,
+    ScanResult,
     Watch,
     WatchResult,
 )
@@ -74,7 +74,7 @@
     requests, out = user_requests()
     requests.submit(1, job("job-1"), WallTime(0.0))
     only(out, Commit).continuation(Conflict(frozenset({"live/job-1"}), False))
-    only(out, Scan).continuation(Listing([live("job-1", 3)], Version(3)))
+    only(out, Scan).continuation(ScanResult([live("job-1", 3)], Version(3)))
     assert answered(out).body["status"] == "queued"
 
 
@@ -82,7 +82,7 @@
     """One whose copy has job-1 and job-2, as of revision 5."""
     requests, out = user_requests()
     requests.query(1, JobRef("job-1"))
-    only(out, Scan).continuation(Listing([live("job-1", 4), live("job-2", 5)], Version(5)))
+    only(out, Scan).continuation(ScanResult([live("job-1", 4), live("job-2", 5)], Version(5)))
     assert out.take() == [
         Response(1, 200, {"ref": "job-1", "status": "queued", "done": 0, "running": 0})
     ]
@@ -115,7 +115,7 @@
     assert read.key == "ended/job-2"
     assert not read.for_user, "not from the allowance that questions about unknown jobs use up"
     read.continuation(
-        Found(Item("ended/job-2", {"tasks": 3, "aborted": False}, Version(9)), Version(9))
+        ReadResult(Item("ended/job-2", {"tasks": 3, "aborted": False}, Version(9)), Version(9))
     )
     answer = answered(out)
     assert answer.request == 4 and answer.body["status"] == "done"
@@ -130,7 +130,7 @@
     requests.query(3, JobRef("job-2"))
     only(out, Delay).continuation()
     only(out, Watch).continuation(WatchResult(Version(5), [], lost=True))
-    only(out, Scan).continuation(Listing([live("job-2", 99, cancelled=True)], Version(99)))
+    only(out, Scan).continuation(ScanResult([live("job-2", 99, cancelled=True)], Version(99)))
     assert answered(out).body["status"] == "aborted"
 
 
@@ -141,5 +141,5 @@
     only(out, Watch).continuation(WatchResult(Version(6), []))
     read = only(out, Read)
     assert read.for_user
-    read.continuation(Found(None, Version(6)))
+    read.continuation(ReadResult(None, Version(6)))
     assert out.take() == [Response(2, 404, None, None)]
--- a/tests/world/store.py
+++ b/tests/world/store.py
@@ -12,9 +12,9 @@
     Committed,
     Conflict,
     Item,
-    Listing,
     NoSuchLease,
     Put,
+    ScanResult,
 )
 
 from .clock import Clock
@@ -115,10 +115,10 @@
         value, version, _ = self.items[key]
         return Item(key, value, Version(version))
 
-    def listing(self, prefix: str) -> Listing:
+    def listing(self, prefix: str) -> ScanResult:
         self.expire()
         found = [self.item(key) for key in sorted(self.items) if key.startswith(prefix)]
-        return Listing([item for item in found if item], Version(self.revision))
+        return ScanResult([item for item in found if item], Version(self.revision))
 
     def changes_after(self, prefix: str, after: int) -> list[Item]:
         self.expire()
--- a/tests/world/store_calls.py
+++ b/tests/world/store_calls.py
@@ -8,13 +8,13 @@
 from crosscleat.core.model.ids import LeaseId, Version
 from crosscleat.core.model.store_calls import (
     Commit,
-    Found,
     GrantLease,
-    Listing,
     Read,
+    ReadResult,
     RenewLease,
     RevokeLease,
     Scan,
+    ScanResult,
     Watch,
     WatchResult,
 )
@@ -36,7 +36,7 @@
         delay = self.world.rng.uniform(0.002, 0.02)
         if member in self.world.old_version and is_of_upgrade(effect):
             # The old version neither writes such keys nor reads them.
-            listing = Listing([], Version(self.world.store.revision))
+            listing = ScanResult([], Version(self.world.store.revision))
             result = listing if isinstance(effect, Scan) else None
             self.world.clock.after(delay, lambda: reply(result))
             return
@@ -96,7 +96,9 @@
                 return self.world.store.commit(effect, False)
             case Read():
                 self.world.store.expire()
-                return Found(self.world.store.item(effect.key), Version(self.world.store.revision))
+                return ReadResult(
+                    self.world.store.item(effect.key), Version(self.world.store.revision)
+                )
             case Scan():
                 return self.world.store.listing(effect.prefix)
             case GrantLease():
