--- a/src/crosscleat/core/control/controller.py
+++ b/src/crosscleat/core/control/controller.py
@@ -33,7 +33,7 @@
     SubmitJob,
     Tick,
 )
-from ..scheduling.sharding import plan
+from ..scheduling.shard_planning import plan_shard
 from ..state.placement_records import chunk_length_for
 from .assembly import build_leader
 from .job_watch import JobWatch, StoredState, TakeoverRead
@@ -152,7 +152,7 @@
         self.users.update_progress(received.counts)
 
     def _shard_requested(self, request: ShardRequested) -> None:
-        proposal = plan(request.view, self.deployment, self._types, self._rng, self._now)
+        proposal = plan_shard(request.view, self.deployment, self._types, self._rng, self._now)
         self._outbox.add(ProposeShard(request.member, proposal))
 
     def _shard_proposed(self, proposed: ShardProposed) -> None:
--- a/src/crosscleat/core/control/cycle_factory.py
+++ b/src/crosscleat/core/control/cycle_factory.py
@@ -20,6 +20,11 @@
 """Free capacity left to urgent work, as a share of the CPUs of a large job."""
 
 
+def is_plannable(job: Job) -> bool:
+    """Whether tasks of the job may be placed, as far as its record is concerned."""
+    return not job.cancelled and not job.needs_reread
+
+
 class CycleFactory:
     """Makes scheduling cycles for the state as it is now."""
 
@@ -47,7 +52,7 @@
 
     def plannable_jobs(self) -> Iterator[Job]:
         """Jobs that a cycle may place tasks of."""
-        return (job for job in self._jobs.values() if not job.cancelled and not job.needs_reread)
+        return (job for job in self._jobs.values() if is_plannable(job))
 
     def usable_machines(self, now: Seconds) -> list[Machine]:
         """Machines that a cycle may place tasks on."""
--- a/src/crosscleat/core/control/scheduler.py
+++ b/src/crosscleat/core/control/scheduler.py
@@ -18,11 +18,12 @@
 from ..scheduling.preemption import INTERVAL_S, choose_victims
 from ..scheduling.scoring import RunTimes
 from ..scheduling.shard_dispatch import ShardDispatcher
+from ..scheduling.sharding import ShardInputs
 from ..state.cluster import ClusterState
 from ..state.jobs import Job
 from ..state.machine import Machine
 from .attempts import Attempts
-from .cycle_factory import CycleFactory
+from .cycle_factory import CycleFactory, is_plannable
 from .gang_control import GangControl
 from .pending_work import PendingWork
 from .placer import Placer
@@ -134,30 +135,20 @@
         reservations = self._cycles.new_cycle(now).reservations(
             self._cycles.plannable_jobs(), machines
         )
-        self._shards.dispatch(
-            shards,
-            machines,
-            reservations,
-            self._cycles.urgent_reserve_cpus(),
-            self._run_times.factors,
-            now,
-        )
+        reserve = self._cycles.urgent_reserve_cpus()
+        inputs = ShardInputs(machines, reservations, reserve, self._run_times.factors, now)
+        self._shards.dispatch(shards, inputs)
 
     def commit_proposal(self, member: Member, proposal: ShardProposal, now: Seconds) -> None:
         """Commit a shard owner's assignments as far as possible, if they are not outdated."""
-        assignments = self._shards.accept(member, proposal)
-        if assignments is None:
+        if not self._shards.expects(member, proposal):
             return
+        assignments = self._shards.accept(member, proposal)
         self._pending.cycle_wanted = True
         if not self._term.may_start(now):
             return
         for assignment in assignments:
             job = self._jobs.get(assignment.job)
             machine = self._cluster.machines.get(assignment.machine)
-            if (
-                job is not None
-                and machine is not None
-                and not job.cancelled
-                and not job.needs_reread
-            ):
+            if job is not None and machine is not None and is_plannable(job):
                 self._placer.place(job, machine)
--- a/src/crosscleat/core/scheduling/shard_dispatch.py
+++ b/src/crosscleat/core/scheduling/shard_dispatch.py
@@ -1,4 +1,4 @@
-"""The leader's side of work partitioning: parts for full rounds, and what owners propose."""
+"""The leader's side of sharding: views for shard owners at full cycles, and their proposals."""
 
 from __future__ import annotations
 
@@ -7,20 +7,19 @@
 
 from ..election.term import LeadingTerm
 from ..model.effects import ShardRequest
-from ..model.ids import MachineId, Member, Seconds
+from ..model.ids import Member, Seconds
 from ..model.shards import ShardProposal
 from ..state.cluster import ClusterState
 from ..state.jobs import Job
-from ..state.machine import Machine
-from .free_capacity import Assignment, Reservation
-from .sharding import build_shard_view, is_shardable, quota_shares, shard_owner
+from .free_capacity import Assignment
+from .sharding import ShardInputs, build_shard_view, is_shardable, quota_shares, shard_owner
 
 PROPOSAL_TIMEOUT_S = 0.4
-"""How long a part waits for its owner's proposal."""
+"""How long the jobs of a shard wait for its owner's proposal."""
 
 
 class ShardDispatcher:
-    """Which parts are being planned elsewhere, and until when they are waited for."""
+    """Which shards are planned by their owners, and until when their proposals are awaited."""
 
     def __init__(self, term: LeadingTerm, cluster: ClusterState, rng: Random) -> None:
         self._rng = rng
@@ -28,63 +27,49 @@
         self._members = term.deployment.members
         self._cluster = cluster
         self._number = 0
-        self._until: dict[Member, Seconds] = {}
-        """Owners that plan their part just now, and until when we wait for them."""
+        """Of the newest full cycle; proposals carry it."""
+        self._wait_until: dict[Member, Seconds] = {}
+        """Shard owners that have not proposed yet, and until when their proposals are awaited."""
         self._punctual: set[Member] = set()
-        """Owners whose last proposal came in time: the others are not waited for."""
+        """Shard owners whose last proposal came in time: the others are not waited for."""
 
     def shards(self, jobs: Iterable[Job]) -> dict[Member, list[Job]]:
-        """Waiting jobs by their owner, if any is not ours."""
-        found: dict[Member, list[Job]] = {}
+        """Waiting jobs by shard owner; empty if the leader owns all of them."""
+        shards: dict[Member, list[Job]] = {}
         for job in jobs:
             if job.next_task() is not None and is_shardable(job):
-                found.setdefault(shard_owner(job.ref, self._members), []).append(job)
-        return found if found.keys() - {self._term.deployment.member} else {}
+                shards.setdefault(shard_owner(job.ref, self._members), []).append(job)
+        return shards if shards.keys() - {self._term.deployment.member} else {}
 
-    def dispatch(
-        self,
-        shards: dict[Member, list[Job]],
-        machines: list[Machine],
-        reservations: dict[MachineId, Reservation],
-        urgent_reserve: float,
-        factors: dict[str, float],
-        now: Seconds,
-    ) -> None:
-        """Send each other owner its part."""
+    def dispatch(self, shards: dict[Member, list[Job]], inputs: ShardInputs) -> None:
+        """Send each other controller the view of its shard."""
         shares = quota_shares(shards, self._term.deployment.teams, self._cluster)
         self._number += 1
-        self._until.clear()
+        self._wait_until.clear()
         for member, jobs in shards.items():
             if member == self._term.deployment.member:
                 continue
             view = build_shard_view(
-                self._number,
-                jobs,
-                machines,
-                self._cluster,
-                reservations,
-                shares[member],
-                urgent_reserve,
-                factors,
-                now,
-                self._rng,
+                self._number, jobs, shares[member], inputs, self._cluster, self._rng
             )
             self._term.outbox.add(ShardRequest(member, view))
             wait_s = PROPOSAL_TIMEOUT_S if member in self._punctual else 0.0
-            self._until[member] = Seconds(now + wait_s)
+            self._wait_until[member] = Seconds(inputs.now + wait_s)
             self._punctual.discard(member)
 
     def is_planned_elsewhere(self, job: Job, now: Seconds) -> bool:
-        """Its owner is planning it; without a proposal in time it is ours again."""
-        if not self._until or not is_shardable(job):
+        """Whether its shard owner's proposal is still awaited; after that the leader plans it."""
+        if not self._wait_until or not is_shardable(job):
             return False
-        return self._until.get(shard_owner(job.ref, self._members), now) > now
+        return self._wait_until.get(shard_owner(job.ref, self._members), now) > now
 
-    def accept(self, member: Member, proposal: ShardProposal) -> list[Assignment] | None:
-        """An owner's choices for its own jobs; None if the proposal is outdated."""
-        if proposal.number != self._number or member not in self._until:
-            return None
-        del self._until[member]
+    def expects(self, member: Member, proposal: ShardProposal) -> bool:
+        """Whether it is this member's first proposal for the newest full cycle, late or not."""
+        return proposal.number == self._number and member in self._wait_until
+
+    def accept(self, member: Member, proposal: ShardProposal) -> list[Assignment]:
+        """The assignments of an expected proposal, as far as they are for the member's own jobs."""
+        del self._wait_until[member]
         self._punctual.add(member)
         return [
             Assignment(ref, machine)
--- a/tests/test_partitioning.py
+++ b/tests/test_partitioning.py
@@ -23,7 +23,13 @@
 from crosscleat.core.model.shards import ShardProposal, ShardView
 from crosscleat.core.model.store_calls import Item
 from crosscleat.core.scheduling.free_capacity import Reservation
-from crosscleat.core.scheduling.sharding import build_shard_view, plan, quota_shares, shard_owner
+from crosscleat.core.scheduling.shard_planning import plan_shard
+from crosscleat.core.scheduling.sharding import (
+    ShardInputs,
+    build_shard_view,
+    quota_shares,
+    shard_owner,
+)
 from crosscleat.core.state.cluster import ClusterState
 from crosscleat.core.state.job_records import live_record
 from crosscleat.core.state.jobs import Job
@@ -74,11 +80,10 @@
     shares = quota_shares(parts, TEAMS, cluster)
     taken = {"red": red, "blue": 0.0}
     for member, mine in parts.items():
-        view = build_shard_view(
-            4, mine, machines, cluster, {}, shares[member], 0.0, {}, NOW, Random(1)
-        )
+        inputs = ShardInputs(machines, {}, 0.0, {}, NOW)
+        view = build_shard_view(4, mine, shares[member], inputs, cluster, Random(1))
         told = msgspec.msgpack.decode(msgspec.msgpack.encode(view), type=ShardView)
-        proposal = plan(
+        proposal = plan_shard(
             told, deployment(member), {t.name: t for t in TYPES}, Random(1), Seconds(7.0)
         )
         assert proposal.number == 4
@@ -145,8 +150,7 @@
     shares = {Team("red"): (10.0, 0.0)}
     large = Reservation(JobRef("job-large"), Priority.NORMAL, Seconds(NOW - 20.0))
     for kept, count in (({}, 1), ({machine.id: large}, 0)):
-        view = build_shard_view(
-            1, [small], [machine], ClusterState(), kept, shares, 0.0, {}, NOW, Random(1)
-        )
+        inputs = ShardInputs([machine], kept, 0.0, {}, NOW)
+        view = build_shard_view(1, [small], shares, inputs, ClusterState(), Random(1))
         types = {t.name: t for t in TYPES}
-        assert len(plan(view, deployment("c1"), types, Random(1), NOW).assignments) == count
+        assert len(plan_shard(view, deployment("c1"), types, Random(1), NOW).assignments) == count
