--- a/src/crosscleat/core/control/gang_control.py
+++ b/src/crosscleat/core/control/gang_control.py
@@ -59,7 +59,7 @@
                 incomplete.pop(job.ref, None)
                 continue
             phase = phase_of(self._cluster.allocations_of(job))
-            if phase is Phase.UNHEARD or job.needs_reread:
+            if phase is Phase.UNCONFIRMED or job.needs_reread:
                 continue
             incomplete.pop(job.ref, None)
             if phase is not Phase.WAITING or not self._complete(job, now):
--- a/src/crosscleat/core/state/allocations.py
+++ b/src/crosscleat/core/state/allocations.py
@@ -1,4 +1,4 @@
-"""What one attempt takes of a machine until it is proven gone."""
+"""What one attempt reserves on a machine until it is proven to have ended."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Allocation:
-    """The room, quota and place that one attempt takes until it is proven gone."""
+    """The capacity, quota and zone that one attempt takes until it is proven to have ended."""
 
     task: TaskId
     attempt: Attempt
@@ -31,15 +31,17 @@
     recorded: bool = False
     """The store has the placement: a start may be sent."""
     in_last_heartbeat: bool = False
-    """The newest report lists it."""
+    """The machine's newest heartbeat lists the attempt."""
     task_state: str = ""
+    """The state in the newest heartbeat that listed the attempt, as in `heartbeats.STATES`."""
     stopping: bool = False
-    """It is to go: no start is sent any more, and a stop when it is listed."""
+    """No start is sent any more, and a stop is sent while heartbeats list the attempt."""
     replaced: bool = False
-    """Withdrawn by itself: its gang waits, and another place is found for it."""
+    """Stopped alone: its gang waits until the task is placed on another machine."""
     grace_s: float = 0.0
+    """How long a stopped attempt may take to save its progress."""
     start_sent_at_sequence: int = 0
-    """Tally of the last check-in whose answer carried its start."""
+    """Sequence of the last heartbeat whose response carried the start."""
     start_sent: bool = False
     """A start may have been sent, by this leader or an earlier one."""
     placed_at: Seconds = LONG_AGO
@@ -47,5 +49,5 @@
 
     @property
     def key(self) -> AttemptKey:
-        """What it is known by on its machine."""
+        """The key among the machine's allocations."""
         return (self.task, self.attempt)
--- a/src/crosscleat/core/state/batch.py
+++ b/src/crosscleat/core/state/batch.py
@@ -1,4 +1,4 @@
-"""One leader's transaction in the making: what it writes, and what each write compares."""
+"""A transaction while it is composed: what it writes, and the versions that it compares."""
 
 from __future__ import annotations
 
@@ -12,37 +12,39 @@
 from .placement_records import PlacementRecord
 
 MAX_BYTES = 48 * 1024
-"""64 KiB is the limit for a whole transaction: leave room for conditions and ends."""
+"""Of placement records in one transaction: the limit for all of it is 64 KiB, and conditions and
+ends of jobs need the rest."""
 
 
 class Batch:
-    """Room for writes, conditions and bytes, as the store limits them."""
+    """Writes, conditions and bytes of one transaction, within the limits of the store."""
 
-    def __init__(self, token: int, most: int) -> None:
+    def __init__(self, token: int, max_writes: int) -> None:
+        """The transaction is carried out only if the leader key still has the version `token`."""
         self.conditions: dict[str, Version] = {LEADER: Version(token)}
         self.writes: list[Put | Remove] = []
         self.decommissioned: list[Machine] = []
         self.decommission_record: DecommissionRecord | None = None
         self.compared_jobs: dict[Job, None] = {}
-        """Those whose live record is compared."""
+        """Jobs whose live record is compared; the order is that of their conditions."""
         self.ended_jobs: list[Job] = []
         self.placement_records: list[PlacementRecord] = []
         self.removed_records: list[PlacementRecord] = []
         self.chunks: list[tuple[Job, Chunk, frozenset[RecordedPlacement]]] = []
-        self._most = most
-        self._most_conditions = 4 * most
+        self._max_writes = max_writes
+        self._max_conditions = 4 * max_writes
         self._bytes_left = MAX_BYTES
 
     def has_capacity(self, writes: int, conditions: int) -> bool:
-        """Whether so many more writes and conditions fit."""
+        """Whether so many more writes, and conditions besides theirs, are within the limits."""
         return (
-            len(self.writes) + writes <= self._most
-            and len(self.conditions) + writes + conditions <= self._most_conditions
+            len(self.writes) + writes <= self._max_writes
+            and len(self.conditions) + writes + conditions <= self._max_conditions
         )
 
     def limit_writes(self, more: int) -> None:
-        """From here on, only so many writes more."""
-        self._most = min(self._most, len(self.writes) + more)
+        """Admit at most so many writes from here on."""
+        self._max_writes = min(self._max_writes, len(self.writes) + more)
 
     def put(self, write: Put, version: Version) -> None:
         """Write a value, if its key still has this version."""
@@ -59,7 +61,7 @@
         self.compared_jobs[job] = None
 
     def end_job(self, job: Job) -> None:
-        """Record the job's end, if its live record is as we know it."""
+        """Replace the live record by the ended record, if the live one is as we know it."""
         self._compare_job(job)
         record = ended_record(job.spec.tasks, cancelled=job.cancelled)
         self.writes.append(Put(ended_key(job.ref), record))
@@ -67,7 +69,7 @@
         self.ended_jobs.append(job)
 
     def add_record(self, record: PlacementRecord) -> None:
-        """Write it, if there is room, comparing each job of which an attempt is new."""
+        """Write the record if the limits admit it, and compare each job that has a new attempt."""
         starting = [job for job, chunk in record.entries.values() if chunk.has_unrecorded()]
         if record in self.placement_records or record.size > self._bytes_left:
             return
--- a/src/crosscleat/core/state/cluster.py
+++ b/src/crosscleat/core/state/cluster.py
@@ -1,14 +1,14 @@
-"""Where each attempt may be, and what proves that it is gone.
+"""Where each attempt may be, and what proves that it has ended.
 
-A hold stands for one attempt that may exist on a machine, seen there or not. It keeps
-its room, its team's quota and its place until one of these is shown:
+An allocation stands for one attempt that may exist on a machine, listed by its heartbeats or
+not. It keeps its capacity, its team's quota and its zone until one of these is shown:
 
-- a report newer than any other, of the same session, lists the attempt as exited;
-- a report of a later session, since a session's end ends all its tasks;
+- a heartbeat newer than any other, of the same agent epoch, lists the attempt as exited;
+- a heartbeat of a later agent epoch arrives, since the end of an epoch ends all its tasks;
 - the cloud has confirmed the machine's deletion;
-- the lease has run out since the last answer anyone could have given;
+- the lease has expired since the last response that any controller could have sent;
 - the start can no longer be executed (`Machine.may_still_start` is false) and the newest
-  report does not list the attempt.
+  heartbeat does not list the attempt.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class ClusterState:
-    """All holds, by machine, with the room, quota and zones that they take."""
+    """All allocations, by machine, with the capacity, quota and zones that they take."""
 
     def __init__(self) -> None:
         self.machines: dict[MachineId, Machine] = {}
@@ -39,28 +39,28 @@
         self.team_gpus: dict[str, float] = {}
         self.job_zones: dict[str, dict[Zone, int]] = {}
         self._machines_by_team: dict[tuple[Team, Priority], dict[MachineId, int]] = {}
-        """How many holds of each team and priority a machine has."""
+        """How many allocations of each team and priority a machine has."""
 
     def machines_by_team(self) -> Iterator[tuple[Team, Priority, Collection[MachineId]]]:
-        """Teams and priorities of which there are holds, and the machines that have them."""
+        """Teams and priorities that have allocations, and the machines that these are on."""
         for (team, priority), machines in self._machines_by_team.items():
             if machines:
                 yield team, priority, machines.keys()
 
     def add(self, machine: Machine, allocation: Allocation) -> None:
-        """Count what the hold takes."""
+        """Add an allocation, and count what it takes."""
         machine.allocations[allocation.task, allocation.attempt] = allocation
         self._count(machine, allocation, 1)
 
     def remove(self, machine: Machine, allocation: Allocation) -> None:
-        """The attempt is proven gone."""
+        """Release an allocation whose attempt is proven to have ended; repeats have no effect."""
         if machine.allocations.pop((allocation.task, allocation.attempt), None) is not None:
             self._count(machine, allocation, -1)
 
     def find(
         self, job: JobRef, number: int, attempt: Attempt, machine_id: MachineId
     ) -> tuple[Machine, Allocation] | None:
-        """The hold of this attempt on this machine."""
+        """The allocation of this attempt on this machine; None if there is none."""
         machine = self.machines.get(machine_id)
         allocation = machine and machine.allocations.get((TaskId(job, number), attempt))
         return (machine, allocation) if machine and allocation else None
@@ -97,7 +97,7 @@
                 del self.job_zones[job.ref]
 
     def zone_allows(self, job: JobSpec, zone: Zone) -> bool:
-        """Whether the job's own tasks leave room for one more in this zone."""
+        """Whether the job's zone constraints admit one more of its tasks in this zone."""
         if not job.one_zone and not job.spread:
             return True
         zones = self.job_zones.get(job.ref, {})
@@ -113,5 +113,9 @@
     def allocations_before_epoch(
         self, machine: Machine, agent_epoch: AgentEpoch
     ) -> list[Allocation]:
-        """The holds that a report of this session proves gone."""
-        return [h for h in machine.allocations.values() if h.agent_epoch < agent_epoch]
+        """The allocations whose attempts a heartbeat of this agent epoch proves to have ended."""
+        return [
+            allocation
+            for allocation in machine.allocations.values()
+            if allocation.agent_epoch < agent_epoch
+        ]
--- a/src/crosscleat/core/state/gangs.py
+++ b/src/crosscleat/core/state/gangs.py
@@ -1,4 +1,4 @@
-"""The life of a gang's attempt: what its tasks are doing, and what may be done about it.
+"""The phases of a gang's attempt, its progress, and the response to a notice.
 
 All tasks of an attempt have one number, by which they find each other. They wait until the last
 has its image, run together and complete together. While they wait, a lost task can be replaced
@@ -22,46 +22,46 @@
 Placed = tuple[Machine, Allocation]
 
 REPLACEABLE = (None, heartbeats.NO_CAPACITY, heartbeats.STOPPED)
-"""Ends of a task that say nothing against completing the attempt that waits for it."""
+"""Causes of a task's end after which the attempt may still be completed by a replacement."""
 
 IN_TIME_SHARE = 0.7
-"""A run that is estimated to end within this part of a notice is let go on."""
+"""A run is continued if it is estimated to end within this share of a notice."""
 
 STOP_MARGIN_S = 1.0
-"""Kept free of a notice for the messages that stop a gang."""
+"""Time of a notice that is set aside for the messages that stop a gang."""
 
 HEARTBEAT_JITTER = 1.25
-"""A worker reports every `report_s`, a quarter more at the most."""
+"""A heartbeat follows the last after `heartbeat_interval_s`, or up to a quarter more."""
 
 FETCH_SPREAD = 1.4
-"""An image may take a third longer than the machine type says."""
+"""By how much fetching an image may exceed the time that the machine type's rate gives."""
 
 
 class Phase(enum.Enum):
-    """How far an attempt has come, by the newest reports of its machines."""
+    """How far an attempt has come, by the newest heartbeats of its machines."""
 
-    UNHEARD = enum.auto()
-    """A new leader has not heard of every machine yet."""
+    UNCONFIRMED = enum.auto()
+    """A new leader has no heartbeat yet of every machine to which a start may have been sent."""
     WAITING = enum.auto()
     RUNNING = enum.auto()
     STOPPING = enum.auto()
 
 
 class InterruptionResponse(enum.Enum):
-    """What becomes of a gang one of whose machines is to be taken back."""
+    """What is done with a gang when one of its machines is to be reclaimed."""
 
     KEEP = enum.auto()
-    """It goes on, for now."""
+    """It continues; the decision is taken again with the next look at the machine."""
     REPLACE = enum.auto()
     """The task on that machine alone is stopped, and started elsewhere."""
     STOP_AND_SAVE = enum.auto()
     STOP = enum.auto()
-    """It can't save: the work since its last checkpoint is lost in any case."""
+    """It is stopped without saving: the notice is too short, or it has no checkpoints."""
 
 
 @dataclass(slots=True)
 class GangProgress:
-    """What the leader has seen of a gang's attempts in this term."""
+    """What heartbeats have shown of a gang's attempts in this term."""
 
     saved_s: float = 0.0
     """Progress that the next attempt continues from."""
@@ -69,29 +69,29 @@
     stopped_at: Seconds | None = None
     """When the first stop was sent: progress ends with it."""
     waiting_since: Seconds | None = None
-    """When the first of its tasks was seen to wait."""
+    """When a heartbeat first listed one of its tasks as waiting."""
     lost_on: set[MachineId] = field(default_factory=set)
-    """Machines on which a task of the present attempt was lost: no other is put there."""
+    """Machines on which a task of the present attempt was lost: they get no replacement."""
 
     def begin_attempt(self, spec: JobSpec) -> None:
-        """Count what the attempt before has left behind, and forget the rest of it."""
+        """Count the saved progress of the attempt before, and reset the rest."""
         if self.stopped_at is not None:
             self.end_attempt(spec, self.stopped_at, saved=False)
         self.running_since = self.stopped_at = self.waiting_since = None
         self.lost_on.clear()
 
     def mark_running(self, now: Seconds) -> None:
-        """A task was seen to run, so all of them do."""
+        """A heartbeat lists a task as running, so all of them run."""
         if self.running_since is None:
             self.running_since = now
 
     def mark_waiting(self, now: Seconds) -> None:
-        """A task was seen to wait for the others."""
+        """A heartbeat lists a task as waiting for the others."""
         if self.waiting_since is None:
             self.waiting_since = now
 
     def mark_stopping(self, now: Seconds) -> None:
-        """The first stop is being sent."""
+        """A stop is sent: progress ends with the first one."""
         if self.stopped_at is None:
             self.stopped_at = now
 
@@ -132,26 +132,26 @@
         ):
             return Phase.RUNNING
         if allocation.start_sent and not machine.confirmed_in_term:
-            phase = Phase.UNHEARD
+            phase = Phase.UNCONFIRMED
     return phase
 
 
 def may_replace(cause: str | None, others: Iterable[Placed]) -> bool:
     """Whether the attempt may yet be completed after one of its tasks ended so."""
-    return cause in REPLACEABLE and phase_of(others) in (Phase.WAITING, Phase.UNHEARD)
+    return cause in REPLACEABLE and phase_of(others) in (Phase.WAITING, Phase.UNCONFIRMED)
 
 
 def start_delay_s(machine: Machine, deployment: Deployment, now: Seconds) -> float:
-    """How long a start takes to reach the machine: at once, or with its next check-in."""
+    """How long a start takes to reach the machine: none, or until its next heartbeat."""
     reachable = machine.address is not None and machine.direct_paused_until <= now
     return 0.0 if reachable else HEARTBEAT_JITTER * deployment.heartbeat_interval_s
 
 
 def is_reachable_in_time(machine: Machine, deployment: Deployment, now: Seconds) -> bool:
-    """Whether a stop sent now reaches the machine within `gang_peer_s`."""
-    check_in_s = HEARTBEAT_JITTER * deployment.heartbeat_interval_s
-    heard = now - machine.last_heartbeat_at <= check_in_s + STOP_MARGIN_S
-    if not heard or machine.unresponsive_since is not None:
+    """Whether a stop that is sent now reaches the machine within `gang_peer_s`."""
+    max_interval_s = HEARTBEAT_JITTER * deployment.heartbeat_interval_s
+    is_alive = now - machine.last_heartbeat_at <= max_interval_s + STOP_MARGIN_S
+    if not is_alive or machine.unresponsive_since is not None:
         return False
     delay_s = start_delay_s(machine, deployment, now)
     return delay_s + STOP_MARGIN_S <= deployment.gang_peer_s
@@ -165,7 +165,7 @@
     deployment: Deployment,
     now: Seconds,
 ) -> InterruptionResponse:
-    """What to do with a gang one of whose machines goes in `notice_s` seconds."""
+    """What to do with a gang when one of its machines is reclaimed in `notice_s` seconds."""
     phase = phase_of(placed)
     if phase is Phase.STOPPING or left_to_run_s < IN_TIME_SHARE * notice_s:
         return InterruptionResponse.KEEP
@@ -176,6 +176,6 @@
         return InterruptionResponse.STOP
     if all(is_reachable_in_time(machine, deployment, now) for machine, _ in placed):
         return InterruptionResponse.STOP_AND_SAVE
-    # A stop that reaches only some of them saves nothing: until the notice's last useful moment
-    # the others may be heard of again.
+    # A stop that reaches only some of the tasks saves nothing: while the notice leaves time to
+    # save, heartbeats of the other machines may arrive again.
     return InterruptionResponse.KEEP
--- a/src/crosscleat/core/state/machine.py
+++ b/src/crosscleat/core/state/machine.py
@@ -39,77 +39,90 @@
     address: str | None = None
     created_at: Seconds = LONG_AGO
     has_sent_heartbeat: bool = False
+    """A heartbeat of it has arrived in this term."""
     listed_by_cloud: bool = False
     """The cloud's list has named it."""
     listed_as_running: bool = False
-    """The cloud's list has named it as running: it has booted, heard of or not."""
+    """The cloud's list has named it as running: it has booted, with or without a heartbeat."""
     heartbeat_id: HeartbeatId = NO_HEARTBEAT
     heartbeat_sequence: int = 0
-    """Tally of the newest check-in; answers to direct orders count in `seen` alone."""
+    """Sequence of the newest heartbeat; replies to direct commands change `heartbeat_id` alone."""
     shown_token: int = 0
+    """The highest fencing token that its heartbeats have shown."""
     pending_start_token: int = 0
     """A direct start sent with this token or a lower one may still be executed."""
     direct_in_flight: bool = False
+    """A direct command was sent, and its outcome is not known yet."""
     last_heartbeat_at: Seconds = LONG_AGO
     last_response_at: Seconds = NEVER_ANSWERED
-    """When we last answered a check-in of it."""
+    """When we last responded to a heartbeat of it."""
     responses_unbroken_since: Seconds = LONG_AGO
-    """Since when we have answered them with no long pause."""
+    """Since when we have responded to its heartbeats without a long interruption."""
     last_possible_renewal: Seconds = LONG_AGO
-    """When anyone could last have renewed the worker's lease."""
+    """The latest time at which any controller could have renewed the worker's lease."""
     reclaim_at: Seconds | None = None
+    """When the cloud takes it back, once a notice was received."""
     quarantined: bool = False
+    """Several jobs failed on it: nothing is placed on it any more."""
     surplus: bool = False
-    """It is not needed any more, and returned once it is empty."""
+    """It is not needed any more, and deleted once it is empty."""
     failed_jobs: set[str] = field(default_factory=set)
+    """Jobs that failed on it since a task last completed there."""
     placement_paused_until: Seconds = LONG_AGO
+    """It refused a start for lack of capacity: nothing is placed on it until then."""
     decommissioning: bool = False
     """Its deletion is decided; nothing is placed on it again."""
     deleted_for_silence: bool = False
-    """Its deletion was decided because nothing was heard of it."""
+    """Its deletion was decided because it sent no heartbeats."""
     decommission_recorded: bool = False
+    """The store has the decision to delete it: the deletion may be sent."""
     deletion_sent_at: Seconds | None = None
+    """When its deletion was last sent to the cloud."""
     images: dict[str, Seconds] = field(default_factory=dict)
-    """Images it should have, and from when on; the one used last comes last."""
+    """Images it should have, and from when on; the most recently used one comes last."""
     image_gb: dict[str, float] = field(default_factory=dict)
     allocations: dict[AttemptKey, Allocation] = field(default_factory=dict)
     exited: dict[AttemptKey, str] = field(default_factory=dict)
-    """Attempts that the newest report lists as exited."""
+    """Attempts that the newest heartbeat lists as exited, with their causes."""
     idle_since: Seconds | None = None
+    """Since when it has had no allocation."""
     used_cpus: float = 0.0
     used_gpus: float = 0.0
     used_memory: float = 0.0
     direct_starts: dict[AttemptKey, Token] = field(default_factory=dict)
-    """Attempts of this session whose start was sent directly, and with which token."""
+    """Attempts of this agent epoch whose start was sent directly, and with which token."""
     orphans: set[AttemptKey] = field(default_factory=set)
-    """Attempts at work on it that no record knows: to be stopped."""
+    """Attempts that its newest heartbeat lists and no record has: they are stopped."""
     confirmed_in_term: bool = False
-    """Rented or heard of for certain in this term: what speaks for it is no old report."""
+    """Rented in this term, or a heartbeat has shown a token of it: it is no delayed heartbeat of
+    a machine that no longer exists."""
     unresponsive_since: Seconds | None = None
-    """Its reports show that it does not take up what our answers say."""
+    """Since when its heartbeats have shown that it does not act on our responses."""
     probed_at: Seconds = LONG_AGO
+    """When another controller was last asked to reach it."""
     direct_failures: int = 0
+    """Direct commands that failed since the last one that succeeded."""
     direct_paused_until: Seconds = LONG_AGO
-    """A direct message failed: until then it hears of orders by its check-ins alone."""
+    """A direct command failed: until then it gets commands in responses to its heartbeats alone."""
 
     @property
     def booted(self) -> bool:
-        """Whether it has come up, as its own reports or the cloud's list say."""
+        """Whether it has booted, as its own heartbeats or the cloud's list show."""
         return self.has_sent_heartbeat or self.listed_as_running
 
     @property
     def draining(self) -> bool:
-        """Whether nothing more is placed on it, and it is returned once it is empty."""
+        """Whether nothing more is placed on it, and it is deleted once it is empty."""
         return self.quarantined or self.surplus or self.reclaim_at is not None
 
     def begin_agent_epoch(self) -> None:
-        """Its lease ran out: what it did and heard before means nothing any more."""
+        """Its lease expired: what it did and received in the epoch before is void."""
         self.exited.clear()
         self.orphans.clear()
         self.direct_starts.clear()
 
     def update_task_list(self, listed: dict[AttemptKey, TaskStatus]) -> None:
-        """What the newest report says of tasks that no record knows, and of exited ones."""
+        """Note the exited attempts of the newest heartbeat, and those that no record has."""
         self.exited = {
             key: task.cause or "" for key, task in listed.items() if task.state == EXITED
         }
@@ -126,7 +139,7 @@
         }
 
     def fits(self, job: JobSpec) -> bool:
-        """Whether one task of the job fits beside what may be there."""
+        """Whether one task of the job fits beside all allocations, running or not."""
         return (
             self.used_cpus + job.cpus <= self.type.cpus + 1e-9
             and self.used_memory + job.memory_gb <= self.type.memory_gb + 1e-9
@@ -134,7 +147,10 @@
         )
 
     def use_image(self, image: str, size_gb: float, ready: Seconds) -> None:
-        """A task is to use the image: it is there, or will be then, and others make room."""
+        """Enter an image as present from `ready` on, and evict others beyond the size of the cache.
+
+        The least recently used are evicted first, but none that an allocation needs.
+        """
         self.images[image] = self.images.pop(image, ready)
         self.image_gb[image] = size_gb
         wanted = {allocation.spec.image for allocation in self.allocations.values()}
@@ -145,7 +161,7 @@
                 del self.images[old], self.image_gb[old]
 
     def allows(self, job: JobSpec) -> bool:
-        """Whether the job may be on this machine at all."""
+        """Whether the job's constraints on type, zone and spot machines allow this machine."""
         return (
             (job.types is None or self.type.name in job.types)
             and (job.zone is None or job.zone == self.zone)
@@ -153,10 +169,10 @@
         )
 
     def may_still_start(self, allocation: Allocation) -> bool:
-        """Whether a start of this hold that was sent could yet be executed.
+        """Whether a start that was sent for this allocation can still be executed.
 
-        A direct start stays possible until the worker has shown a higher token. One in a
-        check-in's answer is executed before the next check-in is sent, or never.
+        A direct start can be executed until the worker has shown a higher token. One in the
+        response to a heartbeat is executed before the next heartbeat is sent, or never.
         """
         if not allocation.start_sent:
             return False
