--- a/src/crosscleat/adapters/commit_queue.py
+++ b/src/crosscleat/adapters/commit_queue.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ..core.model.store_calls import Commit, Committed, Conflict, NoSuchLease, Put
+from ..core.model.store_calls import Commit, CommitOutcome, Conflict, Put, Unanswered
 
 MAX_BYTES = 48_000
 """Of one request's values; the store's limit counts JSON."""
@@ -17,15 +17,13 @@
 """Allowance for a key and what surrounds a value."""
 CONDITIONS_PER_OPERATION = 4
 
-Outcome = Committed | Conflict | NoSuchLease | None
-"""None: not known; the transaction was perhaps carried out, or will be later."""
-SendTransaction = Callable[[list[Commit]], Awaitable[Outcome]]
+SendTransaction = Callable[[list[Commit]], Awaitable[CommitOutcome]]
 
 
 @dataclass(frozen=True, slots=True)
 class _Waiting:
     commit: Commit
-    outcome: asyncio.Future[Outcome]
+    outcome: asyncio.Future[CommitOutcome]
 
     def keys(self) -> set[str]:
         """The keys of its conditions."""
@@ -53,9 +51,9 @@
         self._queue: deque[_Waiting] = deque()
         self._wake = asyncio.Event()
 
-    async def commit(self, call: Commit) -> Outcome:
+    async def commit(self, call: Commit) -> CommitOutcome:
         """Queue the transaction and wait for its outcome."""
-        future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[CommitOutcome] = asyncio.get_running_loop().create_future()
         self._queue.append(_Waiting(call, future))
         self._wake.set()
         return await future
@@ -95,7 +93,7 @@
             writes += len(candidate.commit.writes)
         return batch
 
-    def _distribute(self, batch: list[_Waiting], outcome: Outcome) -> None:
+    def _distribute(self, batch: list[_Waiting], outcome: CommitOutcome) -> None:
         if not isinstance(outcome, Conflict) or len(batch) == 1:
             for waiting in batch:
                 waiting.outcome.set_result(outcome)
@@ -109,5 +107,5 @@
                 again.append(waiting)
         if len(again) == len(batch):
             # The store named no key of these: without the first, each next batch is another one.
-            again.pop(0).outcome.set_result(None)
+            again.pop(0).outcome.set_result(Unanswered())
         self._queue.extendleft(reversed(again))
--- a/src/crosscleat/adapters/state_client.py
+++ b/src/crosscleat/adapters/state_client.py
@@ -19,23 +19,27 @@
 from ..core.model.ids import LeaseId, Version
 from ..core.model.store_calls import (
     Commit,
+    CommitOutcome,
     Committed,
     Conflict,
     GrantLease,
     Item,
+    LeaseRenewed,
     NoSuchLease,
     Read,
     ReadResult,
+    RenewalOutcome,
     RenewLease,
     RevokeLease,
     Scan,
     ScanResult,
+    Unanswered,
     Watch,
     WatchResult,
 )
 from ..wire import state as wire
 from .clock import steady
-from .commit_queue import CommitQueue, Outcome
+from .commit_queue import CommitQueue
 from .http_calls import HttpResponse
 from .pacer import Pacer
 from .state_connection import FIRST_PAUSE_S, REFUSED, TRY_TIMEOUT_S, StateConnection
@@ -61,10 +65,7 @@
 
 
 class StateClient:
-    """Calls to the key-value store, within its rate limits.
-
-    A result of None means that the store gave no answer, or none that could be read.
-    """
+    """Calls to the key-value store, within its rate limits."""
 
     def __init__(
         self,
@@ -103,27 +104,27 @@
         """Users are told to come back rather than kept waiting."""
         return self._connection.is_down() or not self._reads.try_take(1.0)
 
-    async def read(self, call: Read) -> ReadResult | None:
-        """One key; None: no answer."""
+    async def read(self, call: Read) -> ReadResult | Unanswered:
+        """One key."""
         if call.for_user and self._refuses_user_read():
-            return None
+            return Unanswered()
         response = await self._connection.call(
             "GET", f"/kv/{quote(call.key)}", None, call.patience_s
         )
         if response is None:
-            return None
+            return Unanswered()
         if response.status == 200:
             item = _decode(wire.decode_item, response.body)
-            return None if item is None else ReadResult(item, item.version)
+            return item if isinstance(item, Unanswered) else ReadResult(item, item.version)
         if response.status == 404:
             revision = _decode(wire.decode_revision, response.body)
-            return None if revision is None else ReadResult(None, revision)
-        return None
+            return revision if isinstance(revision, Unanswered) else ReadResult(None, revision)
+        return Unanswered()
 
-    async def scan(self, call: Scan) -> ScanResult | None:
-        """All keys with the prefix, page by page; None: no answer."""
+    async def scan(self, call: Scan) -> ScanResult | Unanswered:
+        """All keys with the prefix, page by page."""
         if call.for_user and self._refuses_user_read():
-            return None
+            return Unanswered()
         patience_s = USER_TIMEOUT_S if call.for_user else SCAN_TIMEOUT_S
         items: list[Item] = []
         first_revision: Version | None = None
@@ -134,8 +135,8 @@
                 path += f"&after={quote(after)}"
             response = await self._connection.call("GET", path, None, patience_s)
             page = _decode_success(wire.decode_page, response)
-            if page is None:
-                return None
+            if isinstance(page, Unanswered):
+                return page
             if first_revision is None:
                 # Pages are read one after the other: a watch from the first misses nothing.
                 first_revision = page.revision
@@ -144,11 +145,11 @@
                 return ScanResult(items, first_revision)
             after = page.items[-1].key
 
-    async def watch(self, call: Watch) -> WatchResult | None:
-        """Changes below the prefix, as they come; None: no answer."""
+    async def watch(self, call: Watch) -> WatchResult | Unanswered:
+        """Changes below the prefix, as they come."""
         if call.for_user and self._connection.is_down():
             # No share is counted: whoever asks bounds how often.
-            return None
+            return Unanswered()
         block_ms = int(call.block_s * 1000)
         path = f"/changes?starts={quote(call.prefix)}&after={call.after}&block_ms={block_ms}"
         if call.for_user:
@@ -162,19 +163,19 @@
 
     # Leases
 
-    async def grant(self, call: GrantLease) -> LeaseId | None:
-        """A new lease; None: no answer."""
+    async def grant(self, call: GrantLease) -> LeaseId | Unanswered:
+        """A new lease."""
         body = wire.encode_lease_request(call.life_s)
         response = await self._connection.call("POST", "/grants", body, LEASE_TIMEOUT_S)
-        return None if response is None else _decode(wire.decode_lease, response.body)
+        return Unanswered() if response is None else _decode(wire.decode_lease, response.body)
 
-    async def touch(self, call: RenewLease) -> bool | None:
-        """Renew a lease; False: it has ended; None: no answer."""
+    async def renew(self, call: RenewLease) -> RenewalOutcome:
+        """Renew a lease."""
         path = f"/grants/{call.lease}/touch"
         response = await self._connection.try_once("POST", path, b"", TRY_TIMEOUT_S)
         if response is None or response.status in REFUSED:
-            return None
-        return response.status == 200
+            return Unanswered()
+        return LeaseRenewed() if response.status == 200 else NoSuchLease()
 
     async def revoke(self, call: RevokeLease) -> None:
         """End a lease at once."""
@@ -182,14 +183,14 @@
 
     # Writes
 
-    async def commit(self, call: Commit) -> Outcome:
+    async def commit(self, call: Commit) -> CommitOutcome:
         """Carry out one transaction."""
         if call.for_user and self._connection.is_down():
-            return None
+            return Unanswered()
         queue = self._user_queue if call.for_user else self._leader_queue
         return await queue.commit(call)
 
-    async def _send_transaction(self, commits: list[Commit]) -> Outcome:
+    async def _send_transaction(self, commits: list[Commit]) -> CommitOutcome:
         """Send the commits as one transaction, again and again until the store decides."""
         body = wire.encode_transaction(commits)
         give_up_at = steady() + min(commit.patience_s for commit in commits)
@@ -198,7 +199,7 @@
         pause_s = FIRST_PAUSE_S
         if commits[0].for_user and self._connection.is_down():
             # It failed while these waited for their turn.
-            return None
+            return Unanswered()
         while True:
             await self._writes.take(writes)
             left_s = give_up_at - steady()
@@ -210,19 +211,19 @@
                 return _outcome(response, repeated)
             left_s = give_up_at - steady()
             if left_s <= 0.0:
-                return None
+                return Unanswered()
             await self._connection.pause(pause_s, left_s)
             pause_s = min(MAX_COMMIT_PAUSE_S, pause_s * 2.0)
 
 
-def _outcome(response: HttpResponse, repeated: bool) -> Outcome:
+def _outcome(response: HttpResponse, repeated: bool) -> CommitOutcome:
     """What the answer to a transaction means; `repeated`: an earlier try was not answered."""
     if response.status == 200:
         revision = _decode(wire.decode_revision, response.body)
-        return None if revision is None else Committed(revision)
+        return revision if isinstance(revision, Unanswered) else Committed(revision)
     if response.status == 409:
         failed = _decode(wire.decode_failed_keys, response.body)
-        return Conflict(failed or frozenset(), repeated)
+        return Conflict(frozenset() if isinstance(failed, Unanswered) else failed, repeated)
     if response.status == 400 and b"no such lease" in response.body:
         return NoSuchLease()
     log.error("commit answered with %d: %r", response.status, response.body[:200])
@@ -231,15 +232,15 @@
 
 def _decode_success(
     decode: Callable[[bytes], Message], response: HttpResponse | None
-) -> Message | None:
+) -> Message | Unanswered:
     if response is None or response.status != 200:
-        return None
+        return Unanswered()
     return _decode(decode, response.body)
 
 
-def _decode(decode: Callable[[bytes], Message], body: bytes) -> Message | None:
+def _decode(decode: Callable[[bytes], Message], body: bytes) -> Message | Unanswered:
     try:
         return decode(body)
     except (msgspec.DecodeError, ValueError) as error:
         log.error("unreadable answer: %s", error)
-        return None
+        return Unanswered()
--- a/src/crosscleat/core/control/job_watch.py
+++ b/src/crosscleat/core/control/job_watch.py
@@ -12,7 +12,7 @@
 from ..election.term import LeadingTerm
 from ..model.effects import Delay, Outbox
 from ..model.ids import Seconds, Version
-from ..model.store_calls import Item, Scan, ScanResult, Watch, WatchResult
+from ..model.store_calls import Item, Scan, ScanResult, Unanswered, Watch, WatchResult
 from ..state.keys import DECOMMISSIONED, FORMAT, LIVE, PLACEMENTS
 
 WATCH_BLOCK_S = 1.0
@@ -60,10 +60,10 @@
         """Ask for the first prefix that has not been read yet."""
         self._outbox.add(Scan(TAKEOVER_PREFIXES[len(self._listings)], self._scanned))
 
-    def _scanned(self, listing: ScanResult | None) -> None:
+    def _scanned(self, listing: ScanResult | Unanswered) -> None:
         if not self._still_elected():
             return
-        if listing is not None:
+        if isinstance(listing, ScanResult):
             self._listings.append(listing)
         elif not self._listings:
             self._read_at = self._clock()
@@ -107,10 +107,10 @@
             )
         )
 
-    def _answered(self, opened: Seconds, watch_result: WatchResult | None) -> None:
+    def _answered(self, opened: Seconds, watch_result: WatchResult | Unanswered) -> None:
         if self._term.retired:
             return
-        if watch_result is None:
+        if isinstance(watch_result, Unanswered):
             self._term.outbox.add(Delay(WATCH_RETRY_S, self.begin))
         elif watch_result.lost:
             self._read_all()
@@ -125,10 +125,10 @@
     def _read_all(self) -> None:
         """The store no longer has all changes since our revision: read the records themselves."""
 
-        def scanned(listing: ScanResult | None) -> None:
+        def scanned(listing: ScanResult | Unanswered) -> None:
             if self._term.retired:
                 return
-            if listing is None:
+            if isinstance(listing, Unanswered):
                 self._read_all()
                 return
             self._changed(listing.items, self._term.now)
--- a/src/crosscleat/core/control/live_jobs.py
+++ b/src/crosscleat/core/control/live_jobs.py
@@ -10,7 +10,7 @@
 
 from ..model.effects import Outbox
 from ..model.ids import JobRef, Version
-from ..model.store_calls import Item, Scan, ScanResult, Watch, WatchResult
+from ..model.store_calls import Item, Scan, ScanResult, Unanswered, Watch, WatchResult
 from ..state.job_records import is_cancelled
 from ..state.keys import LIVE
 
@@ -44,26 +44,30 @@
             self._read_all(refreshed)
             return
 
-        def changes_received(watch_result: WatchResult | None) -> None:
-            if watch_result is not None and watch_result.lost:
+        def changes_received(watch_result: WatchResult | Unanswered) -> None:
+            if isinstance(watch_result, Unanswered):
+                refreshed(False)
+                return
+            if watch_result.lost:
                 # The store has no longer all changes since: this copy is too old to go on from.
                 self._revision = None
                 self._read_all(refreshed)
                 return
-            if watch_result is not None:
-                self._revision = max(after, watch_result.revision)
-                self._apply(watch_result.changes)
-            refreshed(watch_result is not None)
+            self._revision = max(after, watch_result.revision)
+            self._apply(watch_result.changes)
+            refreshed(True)
 
         self._outbox.add(Watch(LIVE, after, 0.0, changes_received, for_user=True))
 
     def _read_all(self, refreshed: Callable[[bool], None]) -> None:
-        def scanned(listing: ScanResult | None) -> None:
-            if listing is not None:
-                self._cancelled.clear()
-                self._revision = listing.revision
-                self._apply(listing.items)
-            refreshed(listing is not None)
+        def scanned(listing: ScanResult | Unanswered) -> None:
+            if isinstance(listing, Unanswered):
+                refreshed(False)
+                return
+            self._cancelled.clear()
+            self._revision = listing.revision
+            self._apply(listing.items)
+            refreshed(True)
 
         self._outbox.add(Scan(LIVE, scanned, for_user=True))
 
--- a/src/crosscleat/core/control/status_queries.py
+++ b/src/crosscleat/core/control/status_queries.py
@@ -12,7 +12,7 @@
 
 from ..model.effects import Delay, Outbox, Response
 from ..model.ids import LONG_AGO, JobRef, Seconds
-from ..model.store_calls import Read, ReadResult, Record
+from ..model.store_calls import Read, ReadResult, Record, Unanswered
 from ..state.job_records import JobOutcome, outcome_of
 from ..state.keys import ended_key
 from .live_jobs import LiveJobsCopy
@@ -92,8 +92,8 @@
     def answer_ended(self, request: int, ref: JobRef, unknown_status: int) -> None:
         """Answer with the outcome of a job that is not live."""
 
-        def outcome_read(found: ReadResult | None) -> None:
-            if found is None:
+        def outcome_read(found: ReadResult | Unanswered) -> None:
+            if isinstance(found, Unanswered):
                 respond(self._outbox, request, 503)
             elif found.item is None:
                 respond(self._outbox, request, unknown_status)
--- a/src/crosscleat/core/control/user_requests.py
+++ b/src/crosscleat/core/control/user_requests.py
@@ -17,13 +17,14 @@
 from ..model.job_spec import JobSpec, Shape
 from ..model.store_calls import (
     Commit,
+    CommitOutcome,
     Committed,
     Conflict,
     Item,
-    NoSuchLease,
     Put,
     Read,
     ReadResult,
+    Unanswered,
 )
 from ..state.job_records import is_cancelled, live_record, spec_of, submitted_at
 from ..state.keys import ended_key, live_key
@@ -76,7 +77,7 @@
         self._commit_submission(request, spec, wall)
 
     def _commit_submission(self, request: int, spec: JobSpec, wall: WallTime) -> None:
-        def decided(result: Committed | Conflict | NoSuchLease | None) -> None:
+        def decided(result: CommitOutcome) -> None:
             if isinstance(result, Committed):
                 self._answer(request, 201, {"ref": spec.ref, "status": "queued"})
             elif isinstance(result, Conflict):
@@ -130,8 +131,8 @@
         self._try_cancel(request, ref, retries=0)
 
     def _try_cancel(self, request: int, ref: JobRef, retries: int) -> None:
-        def live_read(found: ReadResult | None) -> None:
-            if found is None:
+        def live_read(found: ReadResult | Unanswered) -> None:
+            if isinstance(found, Unanswered):
                 self._answer(request, 503)
             elif found.item is None:
                 # Not the copy of the live jobs: the job may be accepted just now, and "queued"
@@ -146,7 +147,7 @@
             self._outbox.add(Read(live_key(ref), live_read, for_user=True))
 
     def _commit_cancellation(self, request: int, ref: JobRef, item: Item, retries: int) -> None:
-        def decided(result: Committed | Conflict | NoSuchLease | None) -> None:
+        def decided(result: CommitOutcome) -> None:
             if isinstance(result, Committed):
                 self._answer(request, 200, {"ref": ref, "status": "aborted"})
             elif isinstance(result, Conflict) and retries < MAX_CANCEL_RETRIES:
--- a/src/crosscleat/core/control/writer.py
+++ b/src/crosscleat/core/control/writer.py
@@ -13,7 +13,16 @@
 
 from ..election.term import LeadingTerm
 from ..model.ids import JobRef, Seconds, Token, Version
-from ..model.store_calls import Commit, Committed, Conflict, Item, NoSuchLease, Read, ReadResult
+from ..model.store_calls import (
+    Commit,
+    CommitOutcome,
+    Committed,
+    Conflict,
+    Item,
+    Read,
+    ReadResult,
+    Unanswered,
+)
 from ..state.batch import Batch
 from ..state.cluster import ClusterState
 from ..state.decommission_records import DecommissionRecords
@@ -37,8 +46,6 @@
 MIN_ROTATION_S = 3.0
 """Least time between two rotations of the fencing token."""
 
-Result = Committed | Conflict | NoSuchLease | None
-
 
 class RecordListener(Protocol):
     """Acts on what has been written (`write_outcomes.WriteOutcomes`)."""
@@ -168,10 +175,10 @@
             )
         )
 
-    def _answered(self, batch: Batch, result: Result) -> None:
+    def _answered(self, batch: Batch, result: CommitOutcome) -> None:
         if self._term.retired:
             return
-        if result is None:
+        if isinstance(result, Unanswered):
             # It may have been carried out, or may be later: nothing else is written before that is
             # known.
             self._write(batch)
@@ -240,8 +247,8 @@
             record.mark_changed(max(urgent, default=None), self._term.now)
 
     def _reread(self, job: Job) -> None:
-        def live_read(found: ReadResult | None) -> None:
-            if found is not None and found.item is not None:
+        def live_read(found: ReadResult | Unanswered) -> None:
+            if isinstance(found, ReadResult) and found.item is not None:
                 self._listener.job_reread(found.item)
             elif not self._term.retired and self._jobs.get(job.ref) is job and job.needs_reread:
                 self._reread(job)
@@ -259,7 +266,7 @@
         self.writing = True
         self._rotated_at = now
 
-        def rotated(result: Result) -> None:
+        def rotated(result: CommitOutcome) -> None:
             rotation.continuation(result)
             self.writing = False
 
--- a/src/crosscleat/core/election/election.py
+++ b/src/crosscleat/core/election/election.py
@@ -17,16 +17,19 @@
 from ..model.ids import ABSENT, LONG_AGO, LeaseId, Member, Seconds, Token, Version
 from ..model.store_calls import (
     Commit,
+    CommitOutcome,
     Committed,
-    Conflict,
     GrantLease,
+    LeaseRenewed,
     NoSuchLease,
     Put,
     Read,
     ReadResult,
     Record,
+    RenewalOutcome,
     RenewLease,
     RevokeLease,
+    Unanswered,
     Watch,
     WatchResult,
 )
@@ -120,10 +123,10 @@
         if generation == self._generation:
             self.begin()
 
-    def _leader_read(self, generation: int, found: ReadResult | None) -> None:
+    def _leader_read(self, generation: int, found: ReadResult | Unanswered) -> None:
         if generation != self._generation:
             return
-        if found is None:
+        if isinstance(found, Unanswered):
             self._begin_later(0.3 + 0.4 * self._rng.random())
         elif found.item is None:
             self.leader = None
@@ -154,11 +157,11 @@
         )
 
     def _watch_answered(
-        self, generation: int, after: Version, watch_result: WatchResult | None
+        self, generation: int, after: Version, watch_result: WatchResult | Unanswered
     ) -> None:
         if generation != self._generation:
             return
-        if watch_result is None or watch_result.lost:
+        if isinstance(watch_result, Unanswered) or watch_result.lost:
             self._begin_later(0.2 + 0.3 * self._rng.random())
             return
         changes = [change for change in watch_result.changes if change.key == LEADER]
@@ -197,10 +200,12 @@
             GrantLease(LEASE_LIFE_S, lambda lease: self._lease_granted(generation, version, lease))
         )
 
-    def _lease_granted(self, generation: int, version: Version, lease: LeaseId | None) -> None:
+    def _lease_granted(
+        self, generation: int, version: Version, lease: LeaseId | Unanswered
+    ) -> None:
         if generation != self._generation:
             return
-        if lease is None:
+        if isinstance(lease, Unanswered):
             self._begin_later(0.3 + 0.4 * self._rng.random())
             return
         self._lease = lease
@@ -221,7 +226,7 @@
         generation: int,
         lease: LeaseId,
         sent: Seconds,
-        result: Committed | Conflict | NoSuchLease | None,
+        result: CommitOutcome,
     ) -> None:
         if generation != self._generation:
             return
@@ -244,18 +249,19 @@
             return
         sent = self._clock()
         self._outbox.add(
-            RenewLease(self._lease, lambda alive: self._renewed(generation, sent, alive))
+            RenewLease(self._lease, lambda outcome: self._renewed(generation, sent, outcome))
         )
 
-    def _renewed(self, generation: int, sent: Seconds, alive: bool | None) -> None:
+    def _renewed(self, generation: int, sent: Seconds, outcome: RenewalOutcome) -> None:
         if generation != self._generation:
             return
-        if alive is False:
+        if isinstance(outcome, NoSuchLease):
             self.resign("its lease has expired")
             return
-        if alive:
+        renewed = isinstance(outcome, LeaseRenewed)
+        if renewed:
             self.contact = max(self.contact, sent)
-        self._later(RENEW_S if alive else RENEW_RETRY_S, lambda: self._renew(generation))
+        self._later(RENEW_S if renewed else RENEW_RETRY_S, lambda: self._renew(generation))
 
     def rotation(self) -> Commit | None:
         """The transaction that gives the key, and so us, a higher token; None: we don't lead."""
@@ -268,7 +274,7 @@
             lambda result: self._rotated(generation, result),
         )
 
-    def _rotated(self, generation: int, result: Committed | Conflict | NoSuchLease | None) -> None:
+    def _rotated(self, generation: int, result: CommitOutcome) -> None:
         if generation != self._generation:
             return
         if isinstance(result, Committed):
--- a/src/crosscleat/core/election/upgrade.py
+++ b/src/crosscleat/core/election/upgrade.py
@@ -14,13 +14,14 @@
 from ..model.ids import ABSENT, Member
 from ..model.store_calls import (
     Commit,
+    CommitOutcome,
     Committed,
     Conflict,
     Item,
-    NoSuchLease,
     Put,
     Scan,
     ScanResult,
+    Unanswered,
 )
 from ..state.keys import FORMAT
 
@@ -54,7 +55,7 @@
         write = Put(self._key, {"version": FORMAT_VERSION})
         self._outbox.add(Commit(((self._key, ABSENT),), (write,), self._put))
 
-    def _put(self, result: Committed | Conflict | NoSuchLease | None) -> None:
+    def _put(self, result: CommitOutcome) -> None:
         # A conflict: an earlier process of ours has put it, or this very try did.
         if isinstance(result, (Committed, Conflict)):
             self._read()
@@ -64,8 +65,8 @@
     def _read(self) -> None:
         self._outbox.add(Scan(FORMAT, self._scanned))
 
-    def _scanned(self, listing: ScanResult | None) -> None:
-        if listing is not None:
+    def _scanned(self, listing: ScanResult | Unanswered) -> None:
+        if isinstance(listing, ScanResult):
             self.formats_read(listing.items)
         if not self.complete:
             self._outbox.add(Delay(POLL_S, self._read))
--- a/src/crosscleat/core/model/store_calls.py
+++ b/src/crosscleat/core/model/store_calls.py
@@ -35,6 +35,13 @@
     key: str
 
 
+class Unanswered(msgspec.Struct, frozen=True):
+    """The store gave no answer in time, or none that could be read.
+
+    What was to be written or renewed was perhaps carried out, or will be later.
+    """
+
+
 class Committed(msgspec.Struct, frozen=True):
     """The transaction was carried out."""
 
@@ -53,6 +60,14 @@
     """The lease had ended; nothing was written."""
 
 
+class LeaseRenewed(msgspec.Struct, frozen=True):
+    """The lease has its full life again."""
+
+
+CommitOutcome = Committed | Conflict | NoSuchLease | Unanswered
+RenewalOutcome = LeaseRenewed | NoSuchLease | Unanswered
+
+
 class ReadResult(msgspec.Struct, frozen=True):
     """A key as it was at the revision; `item` is None if it does not exist."""
 
@@ -80,7 +95,7 @@
 
     conditions: tuple[tuple[str, Version], ...]
     writes: tuple[Put | Remove, ...]
-    continuation: Callable[[Committed | Conflict | NoSuchLease | None], None]
+    continuation: Callable[[CommitOutcome], None]
     patience_s: float = 2.0
     for_user: bool = False
     """A user waits: may share a transaction with others, and fails at once without a store."""
@@ -90,7 +105,7 @@
     """Read one key."""
 
     key: str
-    continuation: Callable[[ReadResult | None], None]
+    continuation: Callable[[ReadResult | Unanswered], None]
     patience_s: float = 1.5
     for_user: bool = False
 
@@ -99,7 +114,7 @@
     """Read all keys with the prefix."""
 
     prefix: str
-    continuation: Callable[[ScanResult | None], None]
+    continuation: Callable[[ScanResult | Unanswered], None]
     for_user: bool = False
 
 
@@ -109,7 +124,7 @@
     prefix: str
     after: Version
     block_s: float
-    continuation: Callable[[WatchResult | None], None]
+    continuation: Callable[[WatchResult | Unanswered], None]
     for_user: bool = False
 
 
@@ -117,15 +132,14 @@
     """Ask for a lease."""
 
     life_s: float
-    continuation: Callable[[LeaseId | None], None]
+    continuation: Callable[[LeaseId | Unanswered], None]
 
 
 class RenewLease(msgspec.Struct, frozen=True):
     """Renew a lease."""
 
     lease: LeaseId
-    continuation: Callable[[bool | None], None]
-    """True: renewed. False: the lease has ended."""
+    continuation: Callable[[RenewalOutcome], None]
 
 
 class RevokeLease(msgspec.Struct, frozen=True):
--- a/src/crosscleat/runtime/driver.py
+++ b/src/crosscleat/runtime/driver.py
@@ -110,7 +110,7 @@
         Scan: state.scan,
         Watch: state.watch,
         GrantLease: state.grant,
-        RenewLease: state.touch,
+        RenewLease: state.renew,
         Rent: cloud.rent,
         DeleteMachines: cloud.delete,
         ListTypes: lambda _: cloud.types(),
--- a/tests/test_upgrade_coordination.py
+++ b/tests/test_upgrade_coordination.py
@@ -17,6 +17,7 @@
     ReadResult,
     Scan,
     ScanResult,
+    Unanswered,
 )
 
 from .user_requests import user_requests
@@ -50,10 +51,12 @@
                     if self.answers:
                         self.keys.add(key)
                     done = Committed(Version(1)) if new else Conflict(frozenset((key,)), False)
-                    effect.continuation(done if self.answers else None)
+                    effect.continuation(done if self.answers else Unanswered())
                 elif isinstance(effect, Scan):
                     items = [Item(key, {"version": 2}, Version(1)) for key in sorted(self.keys)]
-                    effect.continuation(ScanResult(items, Version(1)) if self.answers else None)
+                    effect.continuation(
+                        ScanResult(items, Version(1)) if self.answers else Unanswered()
+                    )
 
 
 def test_the_upgrade_is_complete_once_each_controller_has_put_its_key_even_after_restarts() -> None:
--- a/tests/test_user_requests.py
+++ b/tests/test_user_requests.py
@@ -19,6 +19,7 @@
     ReadResult,
     Scan,
     ScanResult,
+    Unanswered,
     Watch,
     WatchResult,
 )
@@ -65,7 +66,7 @@
 def test_without_machine_types_nothing_is_decided() -> None:
     requests, out = user_requests(types=False)
     requests.submit(1, job("job-1"), WallTime(0.0))
-    only(out, Scan).continuation(None)
+    only(out, Scan).continuation(Unanswered())
     (answer,) = out.take()
     assert answer == Response(1, 503, None, 1)
 
@@ -125,7 +126,7 @@
     requests, out = copied()
     requests.query(2, JobRef("job-1"))
     only(out, Delay).continuation()
-    only(out, Watch).continuation(None)
+    only(out, Watch).continuation(Unanswered())
     assert out.take() == [Response(2, 503, None, 1)]
     requests.query(3, JobRef("job-2"))
     only(out, Delay).continuation()
--- a/tests/world/store_calls.py
+++ b/tests/world/store_calls.py
@@ -9,12 +9,15 @@
 from crosscleat.core.model.store_calls import (
     Commit,
     GrantLease,
+    LeaseRenewed,
+    NoSuchLease,
     Read,
     ReadResult,
     RenewLease,
     RevokeLease,
     Scan,
     ScanResult,
+    Unanswered,
     Watch,
     WatchResult,
 )
@@ -37,7 +40,7 @@
         if member in self.world.old_version and is_of_upgrade(effect):
             # The old version neither writes such keys nor reads them.
             listing = ScanResult([], Version(self.world.store.revision))
-            result = listing if isinstance(effect, Scan) else None
+            result = listing if isinstance(effect, Scan) else Unanswered()
             self.world.clock.after(delay, lambda: reply(result))
             return
         if isinstance(effect, Watch):
@@ -54,7 +57,7 @@
             self.world.clock.after(
                 self.world.rng.uniform(2.0, 12.0), lambda: void(self.serve(effect))
             )
-            self.world.clock.after(1.0, lambda: reply(None))
+            self.world.clock.after(1.0, lambda: reply(Unanswered()))
             return
         if self.world.slow_store_s:
             delay = self.world.rng.uniform(0.0, self.world.slow_store_s) / 2.0
@@ -66,12 +69,12 @@
         def arrive() -> None:
             if not self.reaches_store(member):
                 timeout = 0.0 if getattr(effect, "for_user", False) else 0.5
-                self.world.clock.after(timeout, lambda: reply(None))
+                self.world.clock.after(timeout, lambda: reply(Unanswered()))
                 return
             result = self.serve(effect)
             if delay + reply_delay_s > timeout_s:
                 # It was carried out, but nobody waits for the reply any more.
-                self.world.clock.after(max(0.0, timeout_s - delay), lambda: reply(None))
+                self.world.clock.after(max(0.0, timeout_s - delay), lambda: reply(Unanswered()))
             else:
                 self.world.clock.after(reply_delay_s, lambda: reply(result))
 
@@ -86,7 +89,7 @@
         # The store can carry out what was delayed only after its outage.
         self.world.clock.after(late, lambda: self.world.store.commit(effect, True))
         if self.world.rng.random() < 0.5:
-            self.world.clock.after(1.0, lambda: reply(None))
+            self.world.clock.after(1.0, lambda: reply(Unanswered()))
         else:
             self.world.clock.after(0.2, lambda: reply(self.world.store.commit(effect, True)))
 
@@ -105,7 +108,7 @@
                 return LeaseId(self.world.store.grant(effect.life_s))
             case RenewLease():
                 self.world.store.expire()
-                return self.world.store.renew(effect.lease)
+                return LeaseRenewed() if self.world.store.renew(effect.lease) else NoSuchLease()
             case RevokeLease():
                 return self.world.store.revoke(effect.lease)
         raise TypeError(effect)
@@ -117,9 +120,9 @@
             else []
         )
         if not self.world.network.connected(member, REGION) or member in self.world.slow_watches:
-            self.world.clock.after(0.5, lambda: reply(None))
+            self.world.clock.after(0.5, lambda: reply(Unanswered()))
         elif not self.world.store.serves(member) and left <= 0.0:
-            reply(None)
+            reply(Unanswered())
         elif changes or left <= 0.0:
             reply(WatchResult(Version(self.world.store.revision), changes))
         else:
