--- a/tests/effects.py
+++ b/tests/effects.py
@@ -1,4 +1,4 @@
-"""What a part of the core wants done, as a test takes it."""
+"""Takes effects out of an outbox, for the tests."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from crosscleat.core.model.effects import Effect, Outbox, Response
 
-Kind = TypeVar("Kind", bound=Effect)
+E = TypeVar("E", bound=Effect)
 
 
-def only(out: Outbox, kind: type[Kind]) -> Kind:
-    """The one effect that there is, of this kind."""
-    (effect,) = out.take()
-    assert isinstance(effect, kind)
+def only(outbox: Outbox, effect_type: type[E]) -> E:
+    """The only effect in the outbox, which is of this type."""
+    (effect,) = outbox.take()
+    assert isinstance(effect, effect_type)
     return effect
 
 
-def answered(out: Outbox) -> Response:
-    """The one answer that there is, with a body."""
-    answer = only(out, Response)
-    assert answer.body is not None
-    return answer
+def only_response(outbox: Outbox) -> Response:
+    """The only effect in the outbox, which is a response with a body."""
+    response = only(outbox, Response)
+    assert response.body is not None
+    return response
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -1,4 +1,4 @@
-"""A fleet by itself, and what waits for it, for the tests."""
+"""A fleet on its own, and jobs that wait for machines, for the tests."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FixedTarget:
-    """All jobs are to be done within the same time, and run for as long as they say."""
+    """All jobs have the same completion target and run for as long as they estimate."""
 
     target_s: float
 
@@ -33,31 +33,31 @@
         return job.spec.estimate_s
 
 
-def fleet() -> Fleet:
+def make_fleet() -> Fleet:
     types = {machine_type.name: machine_type for machine_type in TYPES}
     return Fleet(TuningOptions(headroom=0.0, swings=0.0), types, FixedTarget(TARGET_S))
 
 
-def waiting(age: float, **changes: Any) -> Job:
+def job_waiting_for(waited_s: float, **changes: Any) -> Job:
     spec = job("job-1", team=Team("blue"), **changes)
-    return Job(spec, Version(1), Seconds(NOW - age))
+    return Job(spec, Version(1), Seconds(NOW - waited_s))
 
 
 def next_request(
-    made: Fleet, jobs: list[Job], machines: list[Machine] | None = None
+    fleet: Fleet, jobs: list[Job], machines: list[Machine] | None = None
 ) -> ScaleOutRequest | None:
-    return made.next_scale_out(jobs, machines or [], TEAMS, CpuUse(), NOW)
+    return fleet.next_scale_out(jobs, machines or [], TEAMS, CpuUse(), NOW)
 
 
-def full(count: int) -> list[Machine]:
+def full_machines(count: int) -> list[Machine]:
     machines = [Machine(MachineId(f"m-{n}"), TYPES[1], Zone("a"), True) for n in range(count)]
-    for one in machines:
-        one.used_cpus = 8.0
-        one.has_sent_heartbeat = True
+    for machine in machines:
+        machine.used_cpus = 8.0
+        machine.has_sent_heartbeat = True
     return machines
 
 
-def refuse_spot(made: Fleet) -> None:
+def refuse_spot(fleet: Fleet) -> None:
     for machine_type in TYPES:
         for zone in machine_type.zones:
-            made.catalog.pool(PoolKey(machine_type.name, zone, True)).refuse(NOW)
+            fleet.catalog.pool(PoolKey(machine_type.name, zone, True)).refuse(NOW)
--- a/tests/planning.py
+++ b/tests/planning.py
@@ -1,4 +1,4 @@
-"""Jobs, machines and scheduling cycles by themselves, for the tests."""
+"""Jobs, machines and scheduling cycles on their own, for the tests."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 NOW = Seconds(100.0)
 
 
-def waiting(ref: str, **changes: Any) -> Job:
+def make_job(ref: str, **changes: Any) -> Job:
     return Job(job(ref, **changes), Version(1), NOW)
 
 
-def machine(name: str, kind: int = 1, zone: str = "a", spot: bool = True) -> Machine:
-    return Machine(MachineId(name), TYPES[kind], Zone(zone), spot)
+def make_machine(name: str, type_index: int = 1, zone: str = "a", spot: bool = True) -> Machine:
+    return Machine(MachineId(name), TYPES[type_index], Zone(zone), spot)
 
 
-def plan(
+def plan_cycle(
     jobs: list[Job],
     machines: list[Machine],
-    most: int = 100,
+    max_assignments: int = 100,
     reserve: float = 0.0,
     backfill_reserve: float = 0.0,
 ) -> list[Assignment]:
     scorer = Scorer(deployment("c0"), RunTimes())
     reserves = CycleReserves(urgent_cpus=reserve, backfill_cpus=backfill_reserve)
     context = CycleContext(ClusterState(), TEAMS, NOW, reserves)
-    return SchedulingCycle(context, scorer, Random(1)).plan(jobs, machines, most)
+    return SchedulingCycle(context, scorer, Random(1)).plan(jobs, machines, max_assignments)
--- a/tests/term.py
+++ b/tests/term.py
@@ -1,4 +1,4 @@
-"""A leader by itself, whose clock and calls are in the test's hands."""
+"""A leader on its own; the test sets its clock and takes its effects."""
 
 from __future__ import annotations
 
@@ -28,58 +28,62 @@
 
 from .world import TYPES, deployment, job
 
-BEGAN = Seconds(50.0)
+TERM_BEGAN = Seconds(50.0)
 TOKEN = 9
 
 
 class Term:
-    """A leader by itself, whose clock and calls are in the test's hands."""
+    """A leader on its own; the test sets its clock and takes its effects."""
 
     def __init__(self, live: list[Item] | None = None, work: list[Item] | None = None) -> None:
-        self.out = Outbox()
-        self.now = BEGAN
-        self.lost: list[str] = []
+        self.outbox = Outbox()
+        self.now = TERM_BEGAN
+        self.resignations: list[str] = []
+        """The reasons for which the leader gave up its term."""
         election = Election(
-            Member("c0"), "boot", self.out, Random(1), lambda: self.now,
-            lambda _delay, _continuation: None, lambda _token: None, self.lost.append,
+            Member("c0"), "boot", self.outbox, Random(1), lambda: self.now,
+            lambda _delay, _continuation: None, lambda _token: None, self.resignations.append,
         )  # fmt: skip
         election.token = Token(TOKEN)
-        election.contact = BEGAN
-        types = {kind.name: kind for kind in TYPES}
+        election.contact = TERM_BEGAN
+        types = {machine_type.name: machine_type for machine_type in TYPES}
         self.leader = build_leader(
-            deployment("c0"), election, self.out, Random(1), types, BEGAN, WallTime(0.0)
+            deployment("c0"), election, self.outbox, Random(1), types, TERM_BEGAN, WallTime(0.0)
         )
-        load_records(self.leader, live or [], work or [], [], BEGAN)
+        load_records(self.leader, live or [], work or [], [], TERM_BEGAN)
 
     def step(self, seconds: float) -> None:
+        """Time passes; the leader is in contact with the store all along."""
         self.now = self.leader.term.now = Seconds(self.now + seconds)
         self.leader.term.election.contact = self.leader.term.jobs_known_at = self.now
 
     def heartbeat(
         self,
         machine: str,
-        seen: tuple[int, int],
+        heartbeat_id: tuple[int, int],
         token: int = TOKEN,
         tasks: tuple[TaskStatus, ...] = (),
     ) -> Heartbeat:
+        """A heartbeat with this agent epoch and sequence."""
         return Heartbeat(
             MachineId(machine), machine, TYPES[1].name, Zone("a"), True,
-            HeartbeatId(AgentEpoch(seen[0]), seen[1]), token, None, tasks,
+            HeartbeatId(AgentEpoch(heartbeat_id[0]), heartbeat_id[1]), token, None, tasks,
         )  # fmt: skip
 
-    def hear(
+    def receive_heartbeat(
         self,
-        seen: tuple[int, int],
+        heartbeat_id: tuple[int, int],
         token: int = TOKEN,
         relayed: bool = False,
         machine: str = "m-0",
         tasks: tuple[TaskStatus, ...] = (),
     ) -> list[Effect]:
-        self.out.take()
+        """Delivers a heartbeat with this agent epoch and sequence; returns what the leader does."""
+        self.outbox.take()
         self.leader.receive_heartbeat(
-            1, self.heartbeat(machine, seen, token, tasks), self.now, relayed
+            1, self.heartbeat(machine, heartbeat_id, token, tasks), self.now, relayed
         )
-        return list(self.out.take())
+        return list(self.outbox.take())
 
     @property
     def usable(self) -> bool:
@@ -90,8 +94,8 @@
         return self.leader.cluster.machines[MachineId("m-0")].decommissioning
 
 
-def held(agent_epoch: int, estimate_s: float = 6.0) -> tuple[list[Item], list[Item]]:
-    """What the store holds of one job with a task on m-0, in that session."""
+def recorded_job(agent_epoch: int, estimate_s: float = 6.0) -> tuple[list[Item], list[Item]]:
+    """The job and placement records of one job with a task on m-0, placed in that agent epoch."""
     spec = job("job-1", tasks=1, estimate_s=estimate_s)
     before = Job(spec, Version(3), Seconds(0.0))
     before.place(MachineId("m-0"), AgentEpoch(agent_epoch))
--- a/tests/test_encoded_jobs.py
+++ b/tests/test_encoded_jobs.py
@@ -39,7 +39,7 @@
 from crosscleat.wire import users
 from crosscleat.wire.workers import HeartbeatReply
 
-from .effects import answered, only
+from .effects import only, only_response
 from .encoded import LIVE, SPEC, STORED_SPEC, SUBMISSION, pack, unpack
 from .user_requests import user_requests
 from .world import job
@@ -119,13 +119,13 @@
 
 
 def test_an_accepted_job_is_queued() -> None:
-    requests, out = user_requests()
+    requests, outbox = user_requests()
     requests.submit(1, job("job-000412"), WallTime(1.0))
-    commit = only(out, Commit)
+    commit = only(outbox, Commit)
     assert commit.conditions == (("live/job-000412", 0), ("ended/job-000412", 0))
     assert [write.key for write in commit.writes] == ["live/job-000412"]
     commit.continuation(Committed(Version(8)))
-    answer = answered(out)
+    answer = only_response(outbox)
     assert (answer.status, answer.body) == (201, {"ref": "job-000412", "status": "queued"})
 
 
@@ -142,46 +142,46 @@
 
 @pytest.mark.parametrize(("cancelled", "progress", "body"), LIVE_ANSWERS)
 def test_a_live_job_is_answered(cancelled: bool, progress: tuple[int, int], body: Any) -> None:
-    requests, out = user_requests()
+    requests, outbox = user_requests()
     requests.update_progress({"job-000412": progress})
     requests.query(1, REF)
-    scan = only(out, Scan)
+    scan = only(outbox, Scan)
     assert scan.prefix == "live/"
     scan.continuation(
         ScanResult(
             [Item("live/job-000412", {**LIVE, "aborted": cancelled}, Version(7))], Version(8)
         )
     )
-    answer = answered(out)
+    answer = only_response(outbox)
     assert (answer.status, answer.body) == (200, body)
 
 
 @pytest.mark.parametrize(("cancelled", "body"), ENDED_ANSWERS)
 def test_an_ended_job_is_answered(cancelled: bool, body: Any) -> None:
-    requests, out = user_requests()
+    requests, outbox = user_requests()
     requests.query(1, REF)
-    only(out, Scan).continuation(ScanResult([], Version(8)))
-    read = only(out, Read)
+    only(outbox, Scan).continuation(ScanResult([], Version(8)))
+    read = only(outbox, Read)
     assert read.key == "ended/job-000412"
     item = Item("ended/job-000412", {"tasks": 3, "aborted": cancelled}, Version(7))
     read.continuation(ReadResult(item, Version(8)))
-    answer = answered(out)
+    answer = only_response(outbox)
     assert (answer.status, answer.body) == (200, body)
 
 
 def test_a_cancelled_job_is_answered_and_stored() -> None:
-    requests, out = user_requests()
+    requests, outbox = user_requests()
     requests.cancel(1, REF)
-    read = only(out, Read)
+    read = only(outbox, Read)
     assert read.key == "live/job-000412"
     read.continuation(ReadResult(Item("live/job-000412", LIVE, Version(7)), Version(8)))
-    commit = only(out, Commit)
+    commit = only(outbox, Commit)
     assert commit.conditions == (("live/job-000412", 7),)
     (write,) = commit.writes
     assert isinstance(write, Put) and write.key == "live/job-000412"
     assert unpack(pack(write.value)) == {**LIVE, "aborted": True}
     commit.continuation(Committed(Version(9)))
-    assert answered(out).body == {"ref": "job-000412", "status": "aborted"}
+    assert only_response(outbox).body == {"ref": "job-000412", "status": "aborted"}
 
 
 class _Service:
@@ -267,19 +267,19 @@
 
 
 def test_a_controller_puts_the_number_of_its_format() -> None:
-    out = Outbox()
-    Upgrade(Member("c0"), (Member("c0"),), out, lambda: None).begin()
-    commit = only(out, Commit)
+    outbox = Outbox()
+    Upgrade(Member("c0"), (Member("c0"),), outbox, lambda: None).begin()
+    commit = only(outbox, Commit)
     assert commit.conditions == (("format/c0", 0),)
     assert commit.writes == (Put("format/c0", {"version": 2}),)
     commit.continuation(Committed(Version(8)))
-    assert only(out, Scan).prefix == "format/"
+    assert only(outbox, Scan).prefix == "format/"
 
 
 def test_the_leader_is_looked_up_under_its_key() -> None:
-    out = Outbox()
+    outbox = Outbox()
     Election(
-        Member("c1"), "0123456789abcdef", out, Random(1), lambda: NOW,
+        Member("c1"), "0123456789abcdef", outbox, Random(1), lambda: NOW,
         lambda _delay, _continuation: None, lambda _token: None, lambda _reason: None,
     ).begin()  # fmt: skip
-    assert only(out, Read).key == "leader"
+    assert only(outbox, Read).key == "leader"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,54 +6,66 @@
 from crosscleat.core.model.ids import MachineId, Seconds, TypeName, Zone
 from crosscleat.core.state.machine import Machine
 
-from .fleets import NOW, TARGET_S, fleet, full, next_request, refuse_spot, waiting
+from .fleets import (
+    NOW,
+    TARGET_S,
+    full_machines,
+    job_waiting_for,
+    make_fleet,
+    next_request,
+    refuse_spot,
+)
 from .world import TEAMS, TYPES
 
 
 def test_one_rental_holds_all_waiting_tasks_when_free_capacity_is_scarce() -> None:
-    jobs = [waiting(0.5, tasks=4, cpus=1.0) for _ in range(5)]
-    found = next_request(fleet(), jobs)
+    jobs = [job_waiting_for(0.5, tasks=4, cpus=1.0) for _ in range(5)]
+    found = next_request(make_fleet(), jobs)
     assert found is not None and found.pool.spot
     size = next(kind.cpus for kind in TYPES if kind.name == found.pool.type)
     assert found.count * size >= 20
 
 
 def test_a_passing_burst_rents_nothing_if_free_capacity_suffices() -> None:
-    made = fleet()
-    busy = full(10)
-    assert next_request(made, [waiting(0.5, tasks=4)], busy) is None
-    assert next_request(made, [waiting(30.0, tasks=4)], busy) is not None, "it has waited for long"
+    made = make_fleet()
+    busy = full_machines(10)
+    assert next_request(made, [job_waiting_for(0.5, tasks=4)], busy) is None
+    assert next_request(made, [job_waiting_for(30.0, tasks=4)], busy) is not None, (
+        "it has waited for long"
+    )
 
 
 def test_expensive_machines_are_not_rented_for_work_they_cannot_finish_in_time() -> None:
-    made = fleet()
+    made = make_fleet()
     refuse_spot(made)
-    busy = full(10)
-    assert next_request(made, [waiting(10.0)], busy) is not None
-    assert next_request(made, [waiting(TARGET_S - 2.0)], busy) is None
-    served = next_request(made, [waiting(120.0)], busy)
+    busy = full_machines(10)
+    assert next_request(made, [job_waiting_for(10.0)], busy) is not None
+    assert next_request(made, [job_waiting_for(TARGET_S - 2.0)], busy) is None
+    served = next_request(made, [job_waiting_for(120.0)], busy)
     assert served is not None and served.overdue, "all work starts in the end, at any price"
-    on_demand = next_request(made, [waiting(TARGET_S - 2.0, spot=False)], busy)
+    on_demand = next_request(made, [job_waiting_for(TARGET_S - 2.0, spot=False)], busy)
     assert on_demand is not None and not on_demand.pool.spot, "it has no spot ones to wait for"
 
 
 def test_tasks_count_on_capacity_that_is_free_or_boots() -> None:
     booting = Machine(MachineId("m-0"), TYPES[1], Zone("a"), True, created_at=Seconds(NOW - 3.0))
-    assert next_request(fleet(), [waiting(30.0, tasks=4, cpus=2.0)], [booting]) is None
-    found = next_request(fleet(), [waiting(30.0, tasks=6, cpus=2.0)], [booting])
+    assert next_request(make_fleet(), [job_waiting_for(30.0, tasks=4, cpus=2.0)], [booting]) is None
+    found = next_request(make_fleet(), [job_waiting_for(30.0, tasks=6, cpus=2.0)], [booting])
     assert found == ScaleOutRequest(PoolKey(TypeName("small"), Zone("a"), True), 1)
 
 
 def test_a_machine_that_boots_for_unusually_long_is_no_free_capacity() -> None:
     late = Machine(MachineId("m-0"), TYPES[1], Zone("a"), True, created_at=Seconds(NOW - 12.0))
-    work = [waiting(30.0, tasks=4, cpus=2.0)]
-    assert next_request(fleet(), work, [late]) is not None
+    work = [job_waiting_for(30.0, tasks=4, cpus=2.0)]
+    assert next_request(make_fleet(), work, [late]) is not None
     late.listed_as_running = True
-    assert next_request(fleet(), work, [late]) is None, "it is up, only not heard from in this term"
+    assert next_request(make_fleet(), work, [late]) is None, (
+        "it is up, only not heard from in this term"
+    )
 
 
 def test_idle_expensive_machines_are_returned_before_warm_capacity_on_spot_ones() -> None:
-    made = fleet()
+    made = make_fleet()
     spot = Machine(MachineId("m-0"), TYPES[1], Zone("a"), True)
     expensive = Machine(MachineId("m-1"), TYPES[1], Zone("a"), False)
     for one in (spot, expensive):
--- a/tests/test_gang_attempts.py
+++ b/tests/test_gang_attempts.py
@@ -10,26 +10,26 @@
 from crosscleat.core.model.worker_calls import DirectCommand, DirectReply, StartOrder, StopOrder
 from crosscleat.core.state.jobs import Job
 
-from .gangs import gang_term, on_record, reported, starts_for, taken_over
-from .planning import machine, plan, waiting
+from .gangs import gang_term, new_leader_with_gang, record_all, start_orders, task_status
+from .planning import make_job, make_machine, plan_cycle
 from .term import TOKEN
 from .world import job
 
 
 def test_a_gang_with_a_task_in_backoff_is_not_placed() -> None:
-    gang = waiting("job-g", tasks=2, cpus=1.0, shape=Shape.GANG, team=Team("blue"))
-    fleet = [machine("m-0")]
-    assert len(plan([gang], fleet)) == 2
+    gang = make_job("job-g", tasks=2, cpus=1.0, shape=Shape.GANG, team=Team("blue"))
+    fleet = [make_machine("m-0")]
+    assert len(plan_cycle([gang], fleet)) == 2
     for _ in range(2):
         gang.place(fleet[0].id, fleet[0].heartbeat_id.agent_epoch)
     gang.requeue(0, None)
     gang.requeue(1, type(gang.submitted)(1e6))
-    assert plan([gang], fleet) == []
+    assert plan_cycle([gang], fleet) == []
 
 
 def test_all_tasks_of_an_attempt_have_one_number() -> None:
     gang = Job(job("job-g", tasks=3, shape=Shape.GANG), Version(1), Seconds(0.0))
-    one = machine("m-0")
+    one = make_machine("m-0")
     assert {gang.place(one.id, one.heartbeat_id.agent_epoch)[1] for _ in range(3)} == {1}
     # A part of a second attempt was entered and void; the others never had that number.
     for index in range(3):
@@ -50,15 +50,15 @@
     assert not [
         o for o in term.leader.commands.orders(one, term.now, 1) if isinstance(o, StartOrder)
     ]
-    on_record(gang, one)
-    assert len(starts_for(term, one)) == 2
+    record_all(gang, one)
+    assert len(start_orders(term, one)) == 2
 
 
 def test_a_gang_gets_no_allocation_if_one_of_its_machines_is_not_up() -> None:
     term = gang_term(tasks=3)
     gang = term.leader.jobs[JobRef("job-g")]
     one = next(iter(term.leader.cluster.machines.values()))
-    other = machine("m-9")
+    other = make_machine("m-9")
     term.leader.placer.place_gang(gang, [one, one, other])
     assert gang.placed_count() == 0 and not one.allocations, (
         "the third machine is not known to be up"
@@ -76,7 +76,7 @@
     term.leader.attempts.stop_gang(gang, 5.0)
     stops = [o for o in term.leader.commands.orders(one, term.now, 1) if isinstance(o, StopOrder)]
     assert [stop.grace_s for stop in stops] == [5.0, 5.0]
-    assert not any(isinstance(effect, Response) for effect in term.out.take())
+    assert not any(isinstance(effect, Response) for effect in term.outbox.take())
 
 
 def test_a_lost_start_keeps_its_allocation_until_it_cannot_arrive_any_more() -> None:
@@ -84,35 +84,35 @@
     gang = term.leader.jobs[JobRef("job-g")]
     one = next(iter(term.leader.cluster.machines.values()))
     term.leader.placer.place_gang(gang, [one, one])
-    on_record(gang, one)
-    term.out.take()
+    record_all(gang, one)
+    term.outbox.take()
     term.leader.pending.send_soon(one.id)
     term.leader.commands.send_direct(term.now)
-    (start,) = [effect for effect in term.out.take() if isinstance(effect, DirectCommand)]
+    (start,) = [effect for effect in term.outbox.take() if isinstance(effect, DirectCommand)]
     assert len(start.orders) == 2
     start.continuation(DirectReply(None, True))
     term.leader.attempts.stop_gang(gang, 0.0)
     term.step(2.0)
-    term.hear((1, 3))
-    term.hear((1, 4))
+    term.receive_heartbeat((1, 3))
+    term.receive_heartbeat((1, 4))
     assert gang.placed_count() == 2, "it may be carried out yet"
     # Only a higher token that the worker has seen rules that out.
     term.leader.term.election.token = Token(TOKEN + 5)
-    term.hear((1, 5), token=TOKEN + 5)
+    term.receive_heartbeat((1, 5), token=TOKEN + 5)
     assert gang.placed_count() == 0 and gang.waiting_count() == 2
 
 
-@pytest.mark.parametrize("on_record", [1, 2])
-def test_a_new_leader_continues_a_gang_only_if_all_of_it_is_recorded(on_record: int) -> None:
-    term = taken_over(on_record)
+@pytest.mark.parametrize("recorded", [1, 2])
+def test_a_new_leader_continues_a_gang_only_if_all_of_it_is_recorded(recorded: int) -> None:
+    term = new_leader_with_gang(recorded)
     one = term.leader.cluster.machines[MachineId("m-0")]
-    if on_record == 1:
+    if recorded == 1:
         # Whether the gang waits is known once the machine is heard of; it has run, so it ends.
         assert not any(allocation.stopping for allocation in one.allocations.values())
-        term.hear((1, 1), tasks=(reported(0, "running"),))
+        term.receive_heartbeat((1, 1), tasks=(task_status(0, "running"),))
     term.leader.finish_step(term.now)
     allocations = list(one.allocations.values())
-    assert [allocation.stopping for allocation in allocations] == [on_record == 1] * on_record
+    assert [allocation.stopping for allocation in allocations] == [recorded == 1] * recorded
 
 
 # A waiting gang that loses a task
--- a/tests/test_gang_notices.py
+++ b/tests/test_gang_notices.py
@@ -4,63 +4,72 @@
 
 from crosscleat.core.model.ids import MachineId, Seconds
 
-from .gangs import notice, placed_on_two, places, reported, running_on_two, stops
+from .gangs import (
+    gang_on_two_machines,
+    placements,
+    running_gang,
+    send_reclaim_notice,
+    stopping_tasks,
+    task_status,
+)
 
 
 def test_a_reclaim_notice_stops_a_running_gang_with_time_for_a_checkpoint() -> None:
-    term, gang = running_on_two()
-    notice(term, "m-1", 4, 8.0, (reported(1, "running"),))
-    assert stops(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
+    term, gang = running_gang()
+    send_reclaim_notice(term, "m-1", 4, 8.0, (task_status(1, "running"),))
+    assert stopping_tasks(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
     # A second notice, on the other machine: it is stopping already.
-    notice(term, "m-0", 4, 8.0, (reported(0, "running"),))
-    assert stops(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
+    send_reclaim_notice(term, "m-0", 4, 8.0, (task_status(0, "running"),))
+    assert stopping_tasks(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
     assert gang.progress.stopped_at == term.now
 
 
 def test_a_reclaim_notice_does_not_stop_a_gang_that_ends_in_time() -> None:
-    term, _ = running_on_two(estimate_s=5.0)
-    notice(term, "m-1", 4, 8.0, (reported(1, "running"),))
-    assert stops(term) == {}
+    term, _ = running_gang(estimate_s=5.0)
+    send_reclaim_notice(term, "m-1", 4, 8.0, (task_status(1, "running"),))
+    assert stopping_tasks(term) == {}
 
 
 def test_a_reclaim_notice_too_short_for_a_checkpoint_stops_without_grace() -> None:
-    term, _ = running_on_two(save_s=7.5)
-    notice(term, "m-1", 4, 8.0, (reported(1, "running"),))
-    assert stops(term) == {"job-g/0": 0.0, "job-g/1": 0.0}
+    term, _ = running_gang(save_s=7.5)
+    send_reclaim_notice(term, "m-1", 4, 8.0, (task_status(1, "running"),))
+    assert stopping_tasks(term) == {"job-g/0": 0.0, "job-g/1": 0.0}
 
 
 def test_a_gang_stop_waits_for_an_unreachable_machine_while_the_reclaim_notice_lasts() -> None:
-    term, _ = running_on_two()
+    term, _ = running_gang()
     far = term.leader.cluster.machines[MachineId("m-0")]
     far.direct_paused_until = Seconds(term.now + 100.0)
     far.unresponsive_since = term.now
-    notice(term, "m-1", 4, 8.0, (reported(1, "running"),))
-    assert stops(term) == {}, "a stop that reaches one of them alone saves nothing"
+    send_reclaim_notice(term, "m-1", 4, 8.0, (task_status(1, "running"),))
+    assert stopping_tasks(term) == {}, "a stop that reaches one of them alone saves nothing"
     term.step(2.0)
     far.unresponsive_since, far.direct_paused_until = None, Seconds(0.0)
-    term.hear((1, 5), tasks=(reported(0, "running"),))
+    term.receive_heartbeat((1, 5), tasks=(task_status(0, "running"),))
     term.leader.watch_machines(term.now)
-    assert stops(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
+    assert stopping_tasks(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
 
 
 def test_at_the_last_useful_moment_of_a_reclaim_notice_the_gang_ends_unsaved() -> None:
-    term, _ = running_on_two()
+    term, _ = running_gang()
     far = term.leader.cluster.machines[MachineId("m-0")]
     far.direct_paused_until, far.unresponsive_since = Seconds(term.now + 100.0), term.now
-    notice(term, "m-1", 4, 8.0, (reported(1, "running"),))
+    send_reclaim_notice(term, "m-1", 4, 8.0, (task_status(1, "running"),))
     term.step(5.5)
-    term.hear((1, 5), machine="m-1", tasks=(reported(1, "running"),))
+    term.receive_heartbeat((1, 5), machine="m-1", tasks=(task_status(1, "running"),))
     term.leader.watch_machines(term.now)
-    assert stops(term) == {"job-g/0": 0.0, "job-g/1": 0.0}
+    assert stopping_tasks(term) == {"job-g/0": 0.0, "job-g/1": 0.0}
 
 
 def test_a_reclaim_notice_moves_the_tasks_of_a_waiting_gang() -> None:
-    term, gang = placed_on_two(tasks=3)
-    term.hear((1, 1), machine="m-2")
-    notice(term, "m-1", 4, 8.0, (reported(1, "fetching"), reported(2, "fetching")))
-    assert stops(term) == {"job-g/1": 0.0, "job-g/2": 0.0}
-    term.hear((1, 5), machine="m-1", tasks=(reported(1, "exited", "stopped"),))
-    term.hear((1, 6), machine="m-1", tasks=(reported(2, "exited", "stopped"),))
+    term, gang = gang_on_two_machines(tasks=3)
+    term.receive_heartbeat((1, 1), machine="m-2")
+    send_reclaim_notice(
+        term, "m-1", 4, 8.0, (task_status(1, "fetching"), task_status(2, "fetching"))
+    )
+    assert stopping_tasks(term) == {"job-g/1": 0.0, "job-g/2": 0.0}
+    term.receive_heartbeat((1, 5), machine="m-1", tasks=(task_status(1, "exited", "stopped"),))
+    term.receive_heartbeat((1, 6), machine="m-1", tasks=(task_status(2, "exited", "stopped"),))
     term.leader.finish_step(term.now)
-    assert places(term) == {"m-0": [(0, 1)], "m-1": [], "m-2": [(2, 1), (1, 1)]}
+    assert placements(term) == {"m-0": [(0, 1)], "m-1": [], "m-2": [(2, 1), (1, 1)]}
     assert gang.progress.stopped_at is None
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -17,49 +17,49 @@
 from crosscleat.core.state.jobs import Job
 from crosscleat.core.state.machine import Machine
 
-from .planning import NOW, machine, plan, waiting
+from .planning import NOW, make_job, make_machine, plan_cycle
 from .world import GANG_WAIT_S, TEAMS, deployment
 
 
 def test_a_gang_gets_the_zone_that_fits_all_its_tasks() -> None:
-    gang = waiting("job-g", tasks=4, cpus=2.0, shape=Shape.GANG, one_zone=True, team=Team("blue"))
-    fleet = [machine("m-0", 0, "a"), machine("m-1", 0, "b"), machine("m-2", 0, "b")]
-    assert {choice.machine for choice in plan([gang], fleet)} == {"m-1", "m-2"}
-    assert plan([gang], [machine("m-0", 0, "a"), machine("m-1", 0, "b")]) == []
+    gang = make_job("job-g", tasks=4, cpus=2.0, shape=Shape.GANG, one_zone=True, team=Team("blue"))
+    fleet = [make_machine("m-0", 0, "a"), make_machine("m-1", 0, "b"), make_machine("m-2", 0, "b")]
+    assert {choice.machine for choice in plan_cycle([gang], fleet)} == {"m-1", "m-2"}
+    assert plan_cycle([gang], [make_machine("m-0", 0, "a"), make_machine("m-1", 0, "b")]) == []
 
 
 def test_a_waiting_gang_reserves_capacity_that_small_tasks_would_take() -> None:
-    gang = waiting("job-g", tasks=4, cpus=2.0, shape=Shape.GANG, one_zone=True, team=Team("blue"))
-    small = waiting("job-s", tasks=8, cpus=1.0, team=Team("blue"))
-    half = machine("m-0")
+    gang = make_job("job-g", tasks=4, cpus=2.0, shape=Shape.GANG, one_zone=True, team=Team("blue"))
+    small = make_job("job-s", tasks=8, cpus=1.0, team=Team("blue"))
+    half = make_machine("m-0")
     half.used_cpus = 4.0
-    assert {choice.job for choice in plan([gang, small], [half])} == {"job-s"}
+    assert {choice.job for choice in plan_cycle([gang, small], [half])} == {"job-s"}
     gang.submitted = type(gang.submitted)(gang.submitted - 10.0)
-    assert plan([gang, small], [half]) == [], "it is emptied for the gang"
-    assert {choice.job for choice in plan([gang, small], [machine("m-0")])} == {"job-g"}
+    assert plan_cycle([gang, small], [half]) == [], "it is emptied for the gang"
+    assert {choice.job for choice in plan_cycle([gang, small], [make_machine("m-0")])} == {"job-g"}
 
 
 def test_a_gang_takes_the_fewest_machines_and_those_with_its_image() -> None:
-    gang = waiting("job-g", tasks=4, cpus=1.0, shape=Shape.GANG, team=Team("blue"))
-    halves = [machine("m-0"), machine("m-1")]
+    gang = make_job("job-g", tasks=4, cpus=1.0, shape=Shape.GANG, team=Team("blue"))
+    halves = [make_machine("m-0"), make_machine("m-1")]
     for half in halves:
         half.used_cpus = 6.0
-    whole = machine("m-2")
-    assert {c.machine for c in plan([gang], [*halves, whole])} == {"m-2"}
-    far = waiting("job-g", tasks=4, cpus=1.0, shape=Shape.GANG, team=Team("blue"), image_gb=20.0)
+    whole = make_machine("m-2")
+    assert {c.machine for c in plan_cycle([gang], [*halves, whole])} == {"m-2"}
+    far = make_job("job-g", tasks=4, cpus=1.0, shape=Shape.GANG, team=Team("blue"), image_gb=20.0)
     for half in halves:
         half.images[Image("img")] = Seconds(0.0)
-    assert {c.machine for c in plan([far], [*halves, whole])} == {"m-0", "m-1"}
+    assert {c.machine for c in plan_cycle([far], [*halves, whole])} == {"m-0", "m-1"}
 
 
 def test_a_gang_starts_where_the_first_need_not_wait_too_long_for_the_last() -> None:
     """Its image takes longer than the tasks that have it would wait."""
     changes = {"cpus": 8.0, "tasks": 2, "image_gb": 2.0 * GANG_WAIT_S, "team": Team("blue")}
-    gang = waiting("job-g", shape=Shape.GANG, estimate_s=500.0, **changes)
-    ready = machine("m-0")
+    gang = make_job("job-g", shape=Shape.GANG, estimate_s=500.0, **changes)
+    ready = make_machine("m-0")
     ready.images[Image("img")] = Seconds(0.0)
-    assert plan([gang], [ready, machine("m-1")]) == []
-    found = plan([gang], [ready, machine("m-1"), machine("m-2")])
+    assert plan_cycle([gang], [ready, make_machine("m-1")]) == []
+    found = plan_cycle([gang], [ready, make_machine("m-1"), make_machine("m-2")])
     assert {c.machine for c in found} == {"m-1", "m-2"}, "they fetch it at the same time"
 
 
@@ -70,23 +70,27 @@
 def test_a_gang_is_placed_together_apart_or_anywhere(
     bound: dict[str, Any], zones: set[str]
 ) -> None:
-    gang = waiting("job-g", tasks=4, cpus=4.0, shape=Shape.GANG, team=Team("blue"), **bound)
+    gang = make_job("job-g", tasks=4, cpus=4.0, shape=Shape.GANG, team=Team("blue"), **bound)
     if not bound:
-        fleet = [machine("m-0", 1, "a"), machine("m-1", 1, "b")]
+        fleet = [make_machine("m-0", 1, "a"), make_machine("m-1", 1, "b")]
     else:
-        fleet = [machine("m-0", 1, "a"), machine("m-1", 1, "b"), machine("m-2", 1, "b")]
-    found = plan([gang], fleet)
+        fleet = [
+            make_machine("m-0", 1, "a"),
+            make_machine("m-1", 1, "b"),
+            make_machine("m-2", 1, "b"),
+        ]
+    found = plan_cycle([gang], fleet)
     assert len(found) == 4
     by_id = {one.id: one.zone for one in fleet}
     assert {by_id[c.machine] for c in found} == zones
 
 
 def test_a_gang_that_fits_no_zone_reserves_no_machine() -> None:
-    gang = waiting("job-g", tasks=5, cpus=4.0, shape=Shape.GANG, one_zone=True, team=Team("blue"))
+    gang = make_job("job-g", tasks=5, cpus=4.0, shape=Shape.GANG, one_zone=True, team=Team("blue"))
     gang.submitted = Seconds(gang.submitted - 30.0)
-    small = waiting("job-s", tasks=12, cpus=1.0)
-    fleet = [machine("m-0", 1, "a"), machine("m-1", 1, "b")]
-    assert len(plan([gang, small], fleet)) == 12
+    small = make_job("job-s", tasks=12, cpus=1.0)
+    fleet = [make_machine("m-0", 1, "a"), make_machine("m-1", 1, "b")]
+    assert len(plan_cycle([gang, small], fleet)) == 12
 
 
 def with_ordinary_reserve(jobs: list[Job], fleet: list[Machine], cpus: float) -> set[str]:
@@ -98,23 +102,23 @@
 
 
 def test_arrays_leave_the_on_demand_reserve_of_one_zone_free() -> None:
-    fleet = [machine(f"m-{n}", 1, zone, spot=False) for n, zone in enumerate("aab")]
-    small = waiting("job-s", tasks=12, cpus=1.0)
+    fleet = [make_machine(f"m-{n}", 1, zone, spot=False) for n, zone in enumerate("aab")]
+    small = make_job("job-s", tasks=12, cpus=1.0)
     assert with_ordinary_reserve([small], fleet, 0.0) == {"m-0", "m-1"}
     # Zone a has most of it, and one machine there is enough.
     assert with_ordinary_reserve([small], fleet, 8.0) == {"m-1", "m-2"}
-    gang = waiting("job-g", tasks=4, cpus=1.0, spot=False, shape=Shape.GANG, team=Team("blue"))
+    gang = make_job("job-g", tasks=4, cpus=1.0, spot=False, shape=Shape.GANG, team=Team("blue"))
     assert with_ordinary_reserve([gang], fleet[:1], 8.0) == {"m-0"}
     assert with_ordinary_reserve([small], fleet[:1], 8.0) == set()
-    large = waiting("job-l", tasks=1, cpus=4.0)
+    large = make_job("job-l", tasks=1, cpus=4.0)
     assert with_ordinary_reserve([large], fleet[:1], 8.0) == {"m-0"}, "it finds few others"
     small.submitted = Seconds(NOW - 70.0)
     assert with_ordinary_reserve([small], fleet[:1], 8.0) == {"m-0"}, "none waits for ever"
 
 
 def test_the_on_demand_reserve_is_kept_on_small_machines_first() -> None:
-    fleet = [machine("m-0", 1, "a", spot=False), machine("m-1", 0, "a", spot=False)]
-    small = waiting("job-s", tasks=2, cpus=1.0)
+    fleet = [make_machine("m-0", 1, "a", spot=False), make_machine("m-1", 0, "a", spot=False)]
+    small = make_job("job-s", tasks=2, cpus=1.0)
     assert with_ordinary_reserve([small], fleet, 4.0) == {"m-0"}
 
 
@@ -123,17 +127,19 @@
     waited_s: float, held_by_gang: bool
 ) -> None:
     """Seen: one waited 60 s beside room that a job of large tasks had reserved."""
-    gang = waiting("job-g", tasks=4, cpus=1.0, shape=Shape.GANG, team=Team("blue"))
+    gang = make_job("job-g", tasks=4, cpus=1.0, shape=Shape.GANG, team=Team("blue"))
     gang.submitted = Seconds(NOW - waited_s)
     held = Reservation(JobRef("job-l"), Priority.NORMAL, Seconds(NOW - 20.0), held_by_gang)
     scorer = Scorer(deployment("c0"), RunTimes())
     one = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1))
-    found = one.plan([gang], [machine("m-0")], 100, {MachineId("m-0"): held})
+    found = one.plan([gang], [make_machine("m-0")], 100, {MachineId("m-0"): held})
     assert len(found) == (4 if waited_s > 1.0 and not held_by_gang else 0)
 
 
 @pytest.mark.parametrize("waited_s", [0.2, 10.0])
 def test_a_gang_that_goes_first_uses_the_urgent_reserve(waited_s: float) -> None:
-    gang = waiting("job-g", tasks=4, cpus=1.0, shape=Shape.GANG, team=Team("blue"))
+    gang = make_job("job-g", tasks=4, cpus=1.0, shape=Shape.GANG, team=Team("blue"))
     gang.submitted = Seconds(NOW - waited_s)
-    assert len(plan([gang], [machine("m-0")], reserve=6.0)) == (4 if waited_s > 1.0 else 0)
+    assert len(plan_cycle([gang], [make_machine("m-0")], reserve=6.0)) == (
+        4 if waited_s > 1.0 else 0
+    )
--- a/tests/test_gang_progress.py
+++ b/tests/test_gang_progress.py
@@ -10,8 +10,8 @@
 from crosscleat.core.scheduling.scoring import RunTimes, Scorer
 from crosscleat.core.state.gangs import GangProgress
 
-from .gangs import placed_on_two
-from .planning import waiting
+from .gangs import gang_on_two_machines
+from .planning import make_job
 from .world import deployment, job
 
 
@@ -36,7 +36,7 @@
 
 
 def test_remaining_run_time_counts_from_the_checkpoint() -> None:
-    gang = waiting("job-g", shape=Shape.GANG, estimate_s=60.0, checkpoint_s=10.0)
+    gang = make_job("job-g", shape=Shape.GANG, estimate_s=60.0, checkpoint_s=10.0)
     scorer = Scorer(deployment("c0"), RunTimes())
     assert scorer.remaining_s(gang) == 60.0
     gang.progress.saved_s = 45.0
@@ -48,7 +48,7 @@
     attempt: int, learned: float
 ) -> None:
     """One observation of 20 of 30 s, beside two pretended ones of 1.0."""
-    term, gang = placed_on_two()
+    term, gang = gang_on_two_machines()
     checkpoints = msgspec.structs.replace(gang.spec, checkpoint_s=10.0)
     for _, allocation in list(term.leader.cluster.allocations_of(gang)):
         allocation.spec, allocation.attempt = checkpoints, Attempt(attempt)
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -11,38 +11,38 @@
 from crosscleat.core.model.ids import Team
 from crosscleat.core.model.job_spec import Shape
 
-from .gangs import done, seeds, with_gangs
+from .gangs import finished_jobs, seeds, world_with_gangs
 from .world import CANCEL_S, GANG_WAIT_S, LEASE_S, MEMBERS, World, job, leader_of, running
 
 
 @seeds
 def test_gangs_run_and_are_done(seed: int) -> None:
-    world = with_gangs(seed)
+    world = world_with_gangs(seed)
     assert running(world, "job-0") in (0, 3)
     world.finish()
-    assert done(world) == {"job-0", "job-1", "job-2"}
+    assert finished_jobs(world) == {"job-0", "job-1", "job-2"}
 
 
 @seeds
 def test_a_gang_that_loses_a_machine_is_placed_again_as_a_whole(seed: int) -> None:
-    world = with_gangs(seed, estimate_s=20.0, count=1)
+    world = world_with_gangs(seed, estimate_s=20.0, count=1)
     assert running(world, "job-0") == 3
     host = next(w for w in world.workers.values() if w.tasks)
     host.dead = True
     host.tasks.clear()
     world.clock.advance(LEASE_S + 20.0)
     world.finish()
-    assert done(world) == {"job-0"}
+    assert finished_jobs(world) == {"job-0"}
 
 
 @seeds
 @pytest.mark.parametrize("hang_s", [4.0, LEASE_S + 4.0])
 def test_a_gang_finishes_after_one_of_its_machines_hangs(seed: int, hang_s: float) -> None:
-    world = with_gangs(seed, estimate_s=20.0, count=2)
+    world = world_with_gangs(seed, estimate_s=20.0, count=2)
     next(w for w in world.workers.values() if w.tasks).hang(hang_s)
     world.clock.advance(hang_s + 2.0)
     world.finish()
-    assert done(world) == {"job-0", "job-1"}
+    assert finished_jobs(world) == {"job-0", "job-1"}
 
 
 @seeds
@@ -57,12 +57,12 @@
     world.clock.advance(5.0)
     world.users.submit(job("job-1", tasks=2, estimate_s=8.0, team=Team("blue"), shape=Shape.GANG))
     world.finish()
-    assert done(world) == {"job-0", "job-1"}
+    assert finished_jobs(world) == {"job-0", "job-1"}
 
 
 @seeds
 def test_a_failover_repeats_no_running_task(seed: int) -> None:
-    world = with_gangs(seed, estimate_s=40.0, count=1)
+    world = world_with_gangs(seed, estimate_s=40.0, count=1)
     assert running(world, "job-0") == 3
     started = world.started
     world.crash(leader_of(world), 5.0)
@@ -74,7 +74,7 @@
 def test_late_starts_of_a_former_attempt_meet_no_other_attempt(seed: int) -> None:
     """Direct starts are held up for seconds; meanwhile a part of the gang is lost, and all of it is
     placed anew elsewhere: only what can't start any more is proven gone."""
-    world = with_gangs(seed, estimate_s=8.0, count=1)
+    world = world_with_gangs(seed, estimate_s=8.0, count=1)
     world.flaky = 0.6
     for number in range(1, 7):
         world.users.submit(
@@ -92,7 +92,7 @@
 
 @seeds
 def test_a_cancelled_gang_ends_in_time(seed: int) -> None:
-    world = with_gangs(seed, estimate_s=100.0, count=1)
+    world = world_with_gangs(seed, estimate_s=100.0, count=1)
     for name in [n for n, w in world.workers.items() if w.tasks][:1]:
         for member in MEMBERS:
             world.network.cut(name, member, "hold")
@@ -111,4 +111,4 @@
         )
     world.clock.advance(GANG_WAIT_S + 30.0)
     world.finish()
-    assert done(world) == {f"job-{number}" for number in range(4)}
+    assert finished_jobs(world) == {f"job-{number}" for number in range(4)}
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -21,13 +21,13 @@
 )
 from crosscleat.core.model.worker_calls import HeartbeatResponse, StartOrder
 
-from .term import TOKEN, Term, held
+from .term import TOKEN, Term, recorded_job
 from .world import TYPES
 
 
 def inherit() -> Leader:
     """A leader that takes over one running task of an estimated 100 s."""
-    return Term(*held(agent_epoch=1, estimate_s=100.0)).leader
+    return Term(*recorded_job(agent_epoch=1, estimate_s=100.0)).leader
 
 
 def heartbeat(sequence: int, state: str, cause: str | None = None) -> Heartbeat:
@@ -63,32 +63,32 @@
 
 
 def test_nothing_is_started_out_of_contact_with_the_store() -> None:
-    term = Term(*held(agent_epoch=1))
-    assert starts(term.hear((1, 1))) == 1
+    term = Term(*recorded_job(agent_epoch=1))
+    assert starts(term.receive_heartbeat((1, 1))) == 1
     # It may have been cancelled since; leases are still renewed, up to their own bound.
     term.now = term.leader.term.now = Seconds(term.now + START_CONTACT_S + 0.5)
-    assert starts(term.hear((1, 2))) == 0
+    assert starts(term.receive_heartbeat((1, 2))) == 0
     term.step(0.1)
-    assert starts(term.hear((1, 3))) == 1
+    assert starts(term.receive_heartbeat((1, 3))) == 1
 
 
 def test_a_start_is_sent_only_to_the_agent_epoch_of_its_placement() -> None:
-    term = Term(*held(agent_epoch=1))
+    term = Term(*recorded_job(agent_epoch=1))
     # A later session, without our token: perhaps the end of what was placed, not proven yet.
-    assert starts(term.hear((2, 1), token=TOKEN - 1)) == 0
+    assert starts(term.receive_heartbeat((2, 1), token=TOKEN - 1)) == 0
     assert term.leader.cluster.machines[MachineId("m-0")].allocations
 
 
 def test_a_deletion_is_recorded_before_it_is_sent() -> None:
     term = Term()
-    term.hear((1, 1))
+    term.receive_heartbeat((1, 1))
     machine = term.leader.cluster.machines[MachineId("m-0")]
     term.leader.decommissioner.decommission(machine, "test")
     for recorded in (False, True):
         machine.decommission_recorded = recorded
         term.step(0.1)
         term.leader.tick(term.now)
-        sent = [effect for effect in term.out.take() if isinstance(effect, DeleteMachines)]
+        sent = [effect for effect in term.outbox.take() if isinstance(effect, DeleteMachines)]
         assert bool(sent) == recorded
 
 
@@ -100,5 +100,5 @@
         for _ in range(2):
             pool = PoolKey(TYPES[0].name, Zone("a"), True)
             term.leader.autoscaler.rent(ScaleOutRequest(pool, 1))
-        names += [effect.name for effect in term.out.take() if isinstance(effect, Rent)]
+        names += [effect.name for effect in term.outbox.take() if isinstance(effect, Rent)]
     assert len(names) == len(set(names)) == 4
--- a/tests/test_leader_without_workers.py
+++ b/tests/test_leader_without_workers.py
@@ -7,7 +7,7 @@
 from crosscleat.core.model.worker_calls import DirectCommand, DirectReply
 from crosscleat.core.state.machine import Machine
 
-from .term import Term, held
+from .term import Term, recorded_job
 from .world import LEASE_S, TYPES
 
 
@@ -19,21 +19,21 @@
     ]
     term.leader.machine_list.receive(listed)
     term.leader.tick(term.now)
-    greetings = [effect for effect in term.out.take() if isinstance(effect, DirectCommand)]
+    greetings = [effect for effect in term.outbox.take() if isinstance(effect, DirectCommand)]
     assert len(greetings) == 5
     for greeting in greetings[:4]:
         greeting.continuation(DirectReply(None, False))
     # A single one that hears us speaks against it.
     term.step(6.0)
-    term.hear((1, 1), relayed=False)
+    term.receive_heartbeat((1, 1), relayed=False)
     term.leader.tick(term.now)
-    assert term.lost == []
+    assert term.resignations == []
     for greeting in greetings[:4]:
         greeting.continuation(DirectReply(None, False))
     term.step(6.0)
-    term.hear((1, 2), relayed=True)
+    term.receive_heartbeat((1, 2), relayed=True)
     term.leader.tick(term.now)
-    assert term.lost == ["no worker reaches us"]
+    assert term.resignations == ["no worker reaches us"]
 
 
 def test_a_leader_of_many_machines_resigns_soon_without_heartbeats() -> None:
@@ -47,11 +47,11 @@
     # A process that stood still for a while has not listened: that is no silence.
     term.step(4.0)
     term.leader.tick(term.now)
-    assert term.lost == []
+    assert term.resignations == []
     for _ in range(9):
         term.step(0.01)
         term.leader.tick(term.now)
-    assert term.lost == ["no worker reaches us"]
+    assert term.resignations == ["no worker reaches us"]
 
 
 def test_a_leader_whose_responses_reach_no_worker_resigns_and_returns_no_machine() -> None:
@@ -66,7 +66,7 @@
     for one in term.leader.cluster.machines.values():
         one.last_heartbeat_at = term.now
     term.leader.tick(term.now)
-    assert term.lost == ["no worker receives our answers"]
+    assert term.resignations == ["no worker receives our answers"]
     assert not any(one.decommissioning for one in term.leader.cluster.machines.values())
 
 
@@ -74,9 +74,9 @@
     """A leader to which many machines have reported; what it sent meanwhile is forgotten."""
     term = Term()
     for number in range(machines):
-        term.hear((1, 1), machine=f"m-{number}")
+        term.receive_heartbeat((1, 1), machine=f"m-{number}")
     term.leader.tick(term.now)
-    term.out.take()
+    term.outbox.take()
     return term
 
 
@@ -86,7 +86,7 @@
     for _ in range(int(seconds / 0.1)):
         term.step(0.1)
         term.leader.tick(term.now)
-        for effect in term.out.take():
+        for effect in term.outbox.take():
             if isinstance(effect, DirectCommand) and effect.orders == ():
                 greeted += 1
                 if answers:
@@ -99,32 +99,32 @@
     # All were with a controller that ended; each takes up to 5 s to turn to another.
     term = busy_term(100)
     assert seconds_alone(term, 4.5, answers=True) > 0
-    assert term.lost == []
+    assert term.resignations == []
     # But a leader that nobody turns to is of no use, whatever they answer.
     seconds_alone(term, LEASE_S, answers=True)
-    assert term.lost[:1] == ["no worker reaches us"]
+    assert term.resignations[:1] == ["no worker reaches us"]
 
 
 def test_a_leader_that_no_worker_answers_resigns_soon() -> None:
     term = busy_term(100)
     seconds_alone(term, 1.5, answers=False)
-    assert term.lost[:1] == ["no worker reaches us"]
+    assert term.resignations[:1] == ["no worker reaches us"]
 
 
 def test_a_new_leader_requests_heartbeats_in_batches_with_free_machines_first() -> None:
-    live, work = held(agent_epoch=1)
+    live, work = recorded_job(agent_epoch=1)
     term = Term(live, work)
     listed = [
         ListedMachine(MachineId(f"m-{n}"), f"m-{n}", TYPES[1].name, Zone("a"), True, "running", 9)
         for n in range(1000)
     ]
     term.leader.machine_list.receive(listed)
-    assert not any(isinstance(effect, DirectCommand) for effect in term.out.take())
+    assert not any(isinstance(effect, DirectCommand) for effect in term.outbox.take())
     greeted = []
     for _ in range(50):
         term.step(0.1)
         term.leader.tick(term.now)
-        batch = [e.address for e in term.out.take() if isinstance(e, DirectCommand)]
+        batch = [e.address for e in term.outbox.take() if isinstance(e, DirectCommand)]
         assert len(batch) <= 50
         greeted += batch
     assert sorted(greeted) == sorted(machine.address for machine in listed)
--- a/tests/test_new_leader.py
+++ b/tests/test_new_leader.py
@@ -26,7 +26,7 @@
     for sequence in range(int(2 * seconds)):
         term.step(0.5)
         for number in HEARD:
-            term.hear((1, sequence + 1), machine=f"m-{number}")
+            term.receive_heartbeat((1, sequence + 1), machine=f"m-{number}")
         term.leader.tick(term.now)
 
 
--- a/tests/test_partitioning.py
+++ b/tests/test_partitioning.py
@@ -100,9 +100,9 @@
 def test_without_a_proposal_in_time_the_leader_plans_the_shard_itself() -> None:
     term = Term([live(ref) for ref in refs_of("c1", 2)])
     leader = term.leader
-    term.hear((1, 1))
+    term.receive_heartbeat((1, 1))
     leader.tick(term.now)
-    (part,) = [effect for effect in term.out.take() if isinstance(effect, ShardRequest)]
+    (part,) = [effect for effect in term.outbox.take() if isinstance(effect, ShardRequest)]
     assert part.member == "c1" and len(part.view.jobs) == 2
     # It has not proposed before, so nobody waits for it.
     leader.finish_step(term.now)
@@ -112,7 +112,7 @@
     fresh, late = refs_of("c1", 4)[2:]
     leader.apply_job_changes([live(fresh)], term.now)
     term.step(5.1)
-    term.hear((1, 2))
+    term.receive_heartbeat((1, 2))
     leader.tick(term.now)
     leader.finish_step(term.now)
     assert leader.jobs[JobRef(fresh)].placed_count() == 0
@@ -127,9 +127,9 @@
     mine, others = refs_of("c1", 2), refs_of("c2", 1)
     term = Term([live(ref) for ref in (*mine, *others)])
     leader = term.leader
-    term.hear((1, 1))
+    term.receive_heartbeat((1, 1))
     leader.tick(term.now)
-    number = next(e for e in term.out.take() if isinstance(e, ShardRequest)).view.number
+    number = next(e for e in term.outbox.take() if isinstance(e, ShardRequest)).view.number
     here = MachineId("m-0")
     outdated = ShardProposal(number - 1, ((JobRef(mine[0]), here),))
     leader.scheduler.commit_proposal(Member("c1"), outdated, term.now)
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -25,9 +25,8 @@
 from crosscleat.core.state.jobs import Job
 from crosscleat.core.state.machine import Machine
 
-from .fleets import fleet, full, next_request, refuse_spot
-from .fleets import waiting as waiting_for
-from .planning import NOW, machine, plan, waiting
+from .fleets import full_machines, job_waiting_for, make_fleet, next_request, refuse_spot
+from .planning import NOW, make_job, make_machine, plan_cycle
 from .world import TEAMS, job
 
 GUEST = TeamLimits(Team("guest"), 0.0, 0.0, 0.0, 0.0)
@@ -39,7 +38,7 @@
     def __init__(self, machines: int) -> None:
         self.cluster = ClusterState()
         self.jobs: dict[JobRef, Job] = {}
-        self.machines = [machine(f"m-{number}") for number in range(machines)]
+        self.machines = [make_machine(f"m-{number}") for number in range(machines)]
 
     def run(self, ref: str, on: Machine, ran_s: float = 100.0, **changes: Any) -> list[Allocation]:
         """All tasks of a new job run there."""
@@ -62,7 +61,7 @@
 
 def urgent(tasks: int = 1, cpus: float = 4.0, **changes: Any) -> Job:
     given: dict[str, Any] = {"priority": Priority.HIGH, "team": Team("blue")}
-    return waiting("job-u", tasks=tasks, cpus=cpus, **{**given, **changes})
+    return make_job("job-u", tasks=tasks, cpus=cpus, **{**given, **changes})
 
 
 def test_no_more_is_preempted_than_the_more_urgent_work_needs() -> None:
@@ -171,38 +170,38 @@
 
 
 def test_backfill_takes_what_all_others_leave() -> None:
-    backfill = waiting("job-b", team=Team("blue"), tasks=4, priority=Priority.LOW)
+    backfill = make_job("job-b", team=Team("blue"), tasks=4, priority=Priority.LOW)
     backfill.backfill = True
     # Long overdue, so that it is worth less than backfill that just came.
-    late = waiting("job-l", team=Team("red"), tasks=4)
+    late = make_job("job-l", team=Team("red"), tasks=4)
     late.submitted = Seconds(NOW - 99.0)
     late.first_untried = 1
-    chosen = [choice.job for choice in plan([backfill, late], [machine("m-0")])]
+    chosen = [choice.job for choice in plan_cycle([backfill, late], [make_machine("m-0")])]
     assert chosen == ["job-l", "job-l", "job-l", "job-b"]
     backfill.submitted = Seconds(NOW - 101.0)
-    chosen = [choice.job for choice in plan([backfill, late], [machine("m-0")])]
+    chosen = [choice.job for choice in plan_cycle([backfill, late], [make_machine("m-0")])]
     assert chosen[0] == "job-b", "it has not begun for so long that it begins next"
 
 
 def test_backfill_that_has_started_rents_no_expensive_machine() -> None:
-    made = fleet()
+    made = make_fleet()
     refuse_spot(made)
-    backfill = waiting_for(120.0, tasks=5)
+    backfill = job_waiting_for(120.0, tasks=5)
     backfill.backfill = True
-    assert next_request(made, [backfill], full(10)) is not None, "all of it begins"
+    assert next_request(made, [backfill], full_machines(10)) is not None, "all of it begins"
     backfill.place(MachineId("m-0"), AgentEpoch(1))
-    assert next_request(made, [backfill], full(10)) is None
+    assert next_request(made, [backfill], full_machines(10)) is None
 
 
 def test_no_warm_capacity_is_kept_for_backfill() -> None:
     kept = {}
     for backfills in (False, True):
-        made = fleet()
-        running = waiting_for(30.0, tasks=10)
+        made = make_fleet()
+        running = job_waiting_for(30.0, tasks=10)
         running.backfill = backfills
         for second in range(60):
             use = CpuUse({"blue": 8.0}, backfill=8.0 if backfills else 0.0)
-            made.next_scale_out([running], full(10), TEAMS, use, Seconds(NOW + second))
+            made.next_scale_out([running], full_machines(10), TEAMS, use, Seconds(NOW + second))
         kept[backfills] = made.targets.demand.mean()
     assert kept[True] == 0.0 < kept[False]
 
@@ -210,9 +209,9 @@
 def test_an_expensive_machine_used_by_backfill_alone_is_returned() -> None:
     # After the guests' last urgent neighbours had ended, half empty on-demand machines stayed.
     teams = {**TEAMS, GUEST.name: GUEST}
-    made = fleet()
+    made = make_fleet()
     cluster = Cluster(1)
-    spot, expensive = cluster.machines[0], machine("m-1", spot=False)
+    spot, expensive = cluster.machines[0], make_machine("m-1", spot=False)
     for one in (spot, expensive):
         one.has_sent_heartbeat = True
         cluster.run(f"job-{one.id}", one, team=GUEST.name)
@@ -222,6 +221,6 @@
 
 
 def test_backfill_leaves_the_reserve_to_others() -> None:
-    backfill = waiting("job-b", team=Team("blue"), tasks=4, cpus=2.0, priority=Priority.LOW)
+    backfill = make_job("job-b", team=Team("blue"), tasks=4, cpus=2.0, priority=Priority.LOW)
     backfill.backfill = True
-    assert len(plan([backfill], [machine("m-0")], backfill_reserve=4.0)) == 2
+    assert len(plan_cycle([backfill], [make_machine("m-0")], backfill_reserve=4.0)) == 2
--- a/tests/test_rentals.py
+++ b/tests/test_rentals.py
@@ -70,7 +70,7 @@
 
 def rental(term: Term) -> Rent:
     """The one rental call that the leader has sent."""
-    (call,) = [effect for effect in term.out.take() if isinstance(effect, Rent)]
+    (call,) = [effect for effect in term.outbox.take() if isinstance(effect, Rent)]
     return call
 
 
@@ -88,7 +88,7 @@
     assert {call.name for call in calls} == {calls[0].name}
     assert pool(term).open(term.now)
     calls[-1].continuation(RentalUnanswered())
-    assert not [effect for effect in term.out.take() if isinstance(effect, Rent)]
+    assert not [effect for effect in term.outbox.take() if isinstance(effect, Rent)]
     assert not pool(term).open(term.now)
 
 
@@ -96,7 +96,7 @@
     term = Term()
     term.leader.autoscaler.rent(ScaleOutRequest(POOL, 2))
     rental(term).continuation(RentalRefused())
-    assert not [effect for effect in term.out.take() if isinstance(effect, Rent)]
+    assert not [effect for effect in term.outbox.take() if isinstance(effect, Rent)]
     assert not pool(term).open(term.now)
     term.step(10.0)
     assert pool(term).open(term.now)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -23,7 +23,7 @@
 from crosscleat.core.state.jobs import Job
 from crosscleat.core.state.machine import Machine
 
-from .term import BEGAN, Term
+from .term import TERM_BEGAN, Term
 from .world import TYPES, job
 
 
@@ -49,21 +49,21 @@
 def test_a_task_that_ended_for_an_unknown_cause_pauses() -> None:
     one = job_of(1)
 
-    assert retries_of(one).not_before(machine_of(0), one, 0, "odd") == BEGAN + ENDED_PAUSE_S
+    assert retries_of(one).not_before(machine_of(0), one, 0, "odd") == TERM_BEGAN + ENDED_PAUSE_S
 
 
 def test_a_refused_task_pauses_briefly_and_the_full_machine_for_longer() -> None:
     one, machine = job_of(1), machine_of(0)
 
-    assert retries_of(one).not_before(machine, one, 0, NO_CAPACITY) == BEGAN + REFUSED_PAUSE_S
-    assert machine.placement_paused_until == BEGAN + FULL_PAUSE_S
+    assert retries_of(one).not_before(machine, one, 0, NO_CAPACITY) == TERM_BEGAN + REFUSED_PAUSE_S
+    assert machine.placement_paused_until == TERM_BEGAN + FULL_PAUSE_S
 
 
 def test_a_refused_gang_member_is_placed_again_at_once_as_the_others_may_wait() -> None:
     gang, machine = job_of(1, Shape.GANG), machine_of(0)
 
     assert retries_of(gang).not_before(machine, gang, 0, NO_CAPACITY) is None
-    assert machine.placement_paused_until == BEGAN + FULL_PAUSE_S
+    assert machine.placement_paused_until == TERM_BEGAN + FULL_PAUSE_S
 
 
 def test_pauses_double_with_each_failure_up_to_a_limit() -> None:
@@ -71,7 +71,7 @@
     retries = retries_of(one)
 
     pauses = [
-        (retries.not_before(machine_of(number), one, 0, ERROR) or BEGAN) - BEGAN
+        (retries.not_before(machine_of(number), one, 0, ERROR) or TERM_BEGAN) - TERM_BEGAN
         for number in range(9)
     ]
 
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -13,11 +13,11 @@
 from crosscleat.core.state.jobs import Job
 from crosscleat.core.state.machine import Machine
 
-from .planning import NOW, machine, plan, waiting
+from .planning import NOW, make_job, make_machine, plan_cycle
 from .world import TEAMS, job
 
 jobs = st.builds(
-    lambda n, tasks, team, cpus, priority, place, shape: waiting(
+    lambda n, tasks, team, cpus, priority, place, shape: make_job(
         f"job-{n}",
         tasks=tasks,
         team=Team(team),
@@ -37,14 +37,14 @@
 )
 fleets = st.lists(
     st.tuples(st.integers(0, 1), st.sampled_from(("a", "b")), st.booleans()), max_size=6
-).map(lambda kinds: [machine(f"m-{n}", *kind) for n, kind in enumerate(kinds)])
+).map(lambda kinds: [make_machine(f"m-{n}", *kind) for n, kind in enumerate(kinds)])
 
 
 @given(st.lists(jobs, max_size=6, unique_by=lambda j: j.ref), fleets)
 def test_a_scheduling_cycle_respects_capacity_quota_and_placement(
     waiting_jobs: list[Job], fleet: list[Machine]
 ) -> None:
-    assignments = plan(waiting_jobs, fleet)
+    assignments = plan_cycle(waiting_jobs, fleet)
     by_ref = {j.ref: j for j in waiting_jobs}
     for one in fleet:
         here = [by_ref[c.job].spec for c in assignments if c.machine == one.id]
@@ -66,35 +66,37 @@
 
 
 def test_a_scheduling_cycle_prefers_urgent_work_spot_machines_and_present_images() -> None:
-    urgent = waiting("job-u", tasks=1, cpus=8.0, priority=Priority.HIGH)
-    normal = waiting("job-n", tasks=1, cpus=8.0, team=Team("blue"))
-    assert plan([normal, urgent], [machine("m-0")]) == [
+    urgent = make_job("job-u", tasks=1, cpus=8.0, priority=Priority.HIGH)
+    normal = make_job("job-n", tasks=1, cpus=8.0, team=Team("blue"))
+    assert plan_cycle([normal, urgent], [make_machine("m-0")]) == [
         Assignment(JobRef("job-u"), MachineId("m-0"))
     ]
-    is_expensive, cheap = machine("m-0", spot=False), machine("m-1")
-    assert [c.machine for c in plan([waiting("job-1", tasks=1)], [is_expensive, cheap])] == ["m-1"]
-    ready, bare = machine("m-0"), machine("m-1")
+    is_expensive, cheap = make_machine("m-0", spot=False), make_machine("m-1")
+    assert [c.machine for c in plan_cycle([make_job("job-1", tasks=1)], [is_expensive, cheap])] == [
+        "m-1"
+    ]
+    ready, bare = make_machine("m-0"), make_machine("m-1")
     ready.images[Image("big")] = Seconds(0.0)
-    large = waiting("job-1", tasks=1, image=Image("big"), image_gb=20.0)
-    assert [c.machine for c in plan([large], [bare, ready])] == ["m-0"]
+    large = make_job("job-1", tasks=1, image=Image("big"), image_gb=20.0)
+    assert [c.machine for c in plan_cycle([large], [bare, ready])] == ["m-0"]
 
 
 def test_a_gang_waits_until_it_fits_whole() -> None:
-    gang = waiting("job-g", tasks=4, cpus=2.0, shape=Shape.GANG, team=Team("blue"))
-    assert plan([gang], [machine("m-0", 0)]) == []
-    assert len(plan([gang], [machine("m-0", 0), machine("m-1", 0)])) == 4
+    gang = make_job("job-g", tasks=4, cpus=2.0, shape=Shape.GANG, team=Team("blue"))
+    assert plan_cycle([gang], [make_machine("m-0", 0)]) == []
+    assert len(plan_cycle([gang], [make_machine("m-0", 0), make_machine("m-1", 0)])) == 4
 
 
 def test_a_job_that_fails_everywhere_is_tried_one_task_at_a_time() -> None:
-    failing = waiting("job-f", tasks=5, cpus=1.0)
+    failing = make_job("job-f", tasks=5, cpus=1.0)
     failing.failed_on = {MachineId("m-0"), MachineId("m-1")}
-    assert len(plan([failing], [machine("m-0"), machine("m-1")])) == 1
+    assert len(plan_cycle([failing], [make_machine("m-0"), make_machine("m-1")])) == 1
 
 
 def test_an_attempt_that_may_still_start_is_not_proven_ended() -> None:
     spec = job("job-1")
-    one = machine("m-0")
-    waiting_job = waiting("job-1")
+    one = make_machine("m-0")
+    waiting_job = make_job("job-1")
     task, attempt = waiting_job.place(one.id, AgentEpoch(1))
     allocation = Allocation(
         task,
@@ -128,79 +130,83 @@
 
 
 def test_a_machine_forgets_the_images_used_longest_ago() -> None:
-    one = machine("m-0")
+    one = make_machine("m-0")
     for image, size in (("a", 8.0), ("b", 8.0), ("a", 8.0), ("c", 8.0)):
         one.use_image(Image(image), size, NOW)
     assert list(one.images) == ["a", "c"], "20 GB hold two of them"
 
 
 def test_small_urgent_tasks_do_not_keep_large_ones_waiting_for_ever() -> None:
-    large = waiting("job-large", tasks=1, cpus=8.0)
+    large = make_job("job-large", tasks=1, cpus=8.0)
     large.submitted = Seconds(NOW - 61.0)
-    half_used = machine("m-0")
+    half_used = make_machine("m-0")
     half_used.used_cpus = 6.0
-    small = waiting("job-small", tasks=4, cpus=1.0, priority=Priority.PRODUCTION)
-    assert plan([large, small], [half_used]) == []
+    small = make_job("job-small", tasks=4, cpus=1.0, priority=Priority.PRODUCTION)
+    assert plan_cycle([large, small], [half_used]) == []
     large.submitted = Seconds(NOW - 10.0)
-    assert len(plan([large, small], [half_used])) == 2, "not so soon, for work that is urgent"
-    equal = waiting("job-equal", tasks=4, cpus=1.0)
-    assert plan([large, equal], [half_used]) == []
+    assert len(plan_cycle([large, small], [half_used])) == 2, "not so soon, for work that is urgent"
+    equal = make_job("job-equal", tasks=4, cpus=1.0)
+    assert plan_cycle([large, equal], [half_used]) == []
     large.submitted = Seconds(NOW - 61.0)
     # Once it is empty the large task has it; and what is not large keeps nobody waiting.
-    assert [c.job for c in plan([large, small], [machine("m-0")])] == ["job-large"]
+    assert [c.job for c in plan_cycle([large, small], [make_machine("m-0")])] == ["job-large"]
     half_used.used_cpus = 7.5
-    medium = waiting("job-medium", tasks=1, cpus=2.0)
+    medium = make_job("job-medium", tasks=1, cpus=2.0)
     medium.submitted = Seconds(NOW - 60.0)
-    tiny = waiting("job-tiny", tasks=1, cpus=0.5)
-    assert [c.job for c in plan([medium, tiny], [half_used])] == ["job-tiny"]
+    tiny = make_job("job-tiny", tasks=1, cpus=0.5)
+    assert [c.job for c in plan_cycle([medium, tiny], [half_used])] == ["job-tiny"]
 
 
 def test_a_scheduling_cycle_looks_at_every_machine_unless_there_are_too_many_pairs() -> None:
-    fleet = [machine(f"m-{n}") for n in range(400)]
+    fleet = [make_machine(f"m-{n}") for n in range(400)]
     for one in fleet[:-1]:
         one.used_cpus = 8.0
-    assert [c.machine for c in plan([waiting("job-1", tasks=1)], fleet)] == ["m-399"]
+    assert [c.machine for c in plan_cycle([make_job("job-1", tasks=1)], fleet)] == ["m-399"]
 
 
 def test_the_last_of_a_teams_quota_is_for_its_urgent_work() -> None:
-    fleet = [machine(f"m-{n}") for n in range(8)]
+    fleet = [make_machine(f"m-{n}") for n in range(8)]
     for priority, most in ((Priority.NORMAL, 13), (Priority.HIGH, 14)):
-        many = waiting("job-1", tasks=40, cpus=1.0, memory_gb=0.1, priority=priority)
-        assert len(plan([many], fleet, reserve=1.0)) == most, "red may use 14 CPUs"
-    alone = waiting("job-1", tasks=1, cpus=8.0, team=Team("red"))
-    assert len(plan([alone], fleet, reserve=20.0)) == 1, "but none is kept from starting at all"
+        many = make_job("job-1", tasks=40, cpus=1.0, memory_gb=0.1, priority=priority)
+        assert len(plan_cycle([many], fleet, reserve=1.0)) == most, "red may use 14 CPUs"
+    alone = make_job("job-1", tasks=1, cpus=8.0, team=Team("red"))
+    assert len(plan_cycle([alone], fleet, reserve=20.0)) == 1, (
+        "but none is kept from starting at all"
+    )
 
 
 def test_late_work_starts_among_ever_new_work_of_higher_value() -> None:
-    old = waiting("job-old", tasks=3, cpus=2.0, priority=Priority.LOW, team=Team("blue"))
+    old = make_job("job-old", tasks=3, cpus=2.0, priority=Priority.LOW, team=Team("blue"))
     old.submitted = Seconds(NOW - 101.0)
-    new = waiting("job-new", tasks=3, cpus=2.0, priority=Priority.HIGH, team=Team("blue"))
-    fleet = [machine("m-0")]
+    new = make_job("job-new", tasks=3, cpus=2.0, priority=Priority.HIGH, team=Team("blue"))
+    fleet = [make_machine("m-0")]
     fleet[0].used_cpus = 4.0
-    assert [c.job for c in plan([new, old], fleet)] == ["job-old", "job-new"], "one task of it"
+    assert [c.job for c in plan_cycle([new, old], fleet)] == ["job-old", "job-new"], (
+        "one task of it"
+    )
     old.place(MachineId("m-9"), AgentEpoch(1))
-    assert [c.job for c in plan([new, old], fleet)] == ["job-new", "job-new"], "it has begun"
+    assert [c.job for c in plan_cycle([new, old], fleet)] == ["job-new", "job-new"], "it has begun"
 
 
 def test_no_job_waits_for_long_while_a_machine_has_free_capacity_for_it() -> None:
     """Neither what is kept for large tasks, nor what is left to urgent work, nor a failure there
     keeps a job from all room that there is."""
-    large = waiting("job-large", tasks=1, cpus=8.0, priority=Priority.HIGH)
+    large = make_job("job-large", tasks=1, cpus=8.0, priority=Priority.HIGH)
     large.submitted = Seconds(NOW - 70.0)
-    kept = machine("m-0")
+    kept = make_machine("m-0")
     kept.used_cpus = 4.0
     for reserve, failed in ((0.0, False), (20.0, False), (0.0, True)):
-        small = waiting("job-small", tasks=3, cpus=1.0, priority=Priority.LOW)
+        small = make_job("job-small", tasks=3, cpus=1.0, priority=Priority.LOW)
         if failed:
             small.failed_on = {kept.id}
         others = [large] if not failed else []
-        fleet = [kept, machine("m-1")] if failed else [kept]
+        fleet = [kept, make_machine("m-1")] if failed else [kept]
         fleet[-1].used_cpus = 4.0 if len(fleet) == 1 else 8.0
         small.submitted = Seconds(NOW - 59.0)
-        assert plan([*others, small], fleet, reserve=reserve) == []
+        assert plan_cycle([*others, small], fleet, reserve=reserve) == []
         small.submitted = Seconds(NOW - 61.0)
-        (choice,) = plan([*others, small], fleet, reserve=reserve)
+        (choice,) = plan_cycle([*others, small], fleet, reserve=reserve)
         assert choice == Assignment(small.ref, kept.id), "one task of it"
         # It counts from when the last of its tasks left its machine.
         small.idle_since = Seconds(NOW - 30.0)
-        assert plan([*others, small], fleet, reserve=reserve) == []
+        assert plan_cycle([*others, small], fleet, reserve=reserve) == []
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -172,7 +172,7 @@
     """A leader that has heard of so many machines."""
     term = Term()
     for number in range(machines):
-        term.hear((1, 1), machine=f"m-{number:06d}")
+        term.receive_heartbeat((1, 1), machine=f"m-{number:06d}")
     return term
 
 
@@ -210,9 +210,9 @@
         waiting.succeeded = True
         waiting.failed_on = failing
         term.leader.jobs[ref] = waiting
-    term.out.take()
+    term.outbox.take()
     term.leader.scheduler.dispatch_shards(term.now)
-    parts = [effect for effect in term.out.take() if isinstance(effect, ShardRequest)]
+    parts = [effect for effect in term.outbox.take() if isinstance(effect, ShardRequest)]
     assert len(parts) == 2
     for part in parts:
         assert (
@@ -255,6 +255,8 @@
     unrecorded = counted(monkeypatch, Chunk, "has_unrecorded")
     term.leader.write_outcomes.placements_recorded(gang, list(range(spec.tasks)))
     term.leader.commands.send_direct(term.now)
-    assert sum(len(e.orders) for e in term.out.take() if isinstance(e, DirectCommand)) == spec.tasks
+    assert (
+        sum(len(e.orders) for e in term.outbox.take() if isinstance(e, DirectCommand)) == spec.tasks
+    )
     assert found[0] <= 2 * spec.tasks
     assert unrecorded[0] <= 3 * len(gang.chunks)
--- a/tests/test_stale_heartbeats.py
+++ b/tests/test_stale_heartbeats.py
@@ -9,45 +9,45 @@
 from crosscleat.core.model.ids import MachineId
 from crosscleat.core.model.worker_calls import DirectCommand
 
-from .term import TOKEN, Term, held
+from .term import TOKEN, Term, recorded_job
 from .world import LEASE_S
 
 
 def test_a_machine_known_only_from_an_old_heartbeat_gets_no_work() -> None:
     term = Term()
     # It may have been deleted long ago: no tombstone of ours tells.
-    term.hear((1, 40), token=TOKEN - 2)
+    term.receive_heartbeat((1, 40), token=TOKEN - 2)
     term.leader.tick(term.now)
-    asked = term.out.take()
+    asked = term.outbox.take()
     assert any(isinstance(a, DirectCommand) and a.orders == () for a in asked), "asks it directly"
     assert not term.usable
     term.step(0.5)
-    term.hear((1, 41))
+    term.receive_heartbeat((1, 41))
     assert term.usable, "it has seen our token, so it lives"
 
 
 def test_an_old_heartbeat_does_not_bring_back_a_deleted_machine() -> None:
     term = Term()
-    term.hear((1, 40))
+    term.receive_heartbeat((1, 40))
     machine = term.leader.cluster.machines[MachineId("m-0")]
     term.leader.decommissioner.decommission(machine, "test")
     machine.decommission_recorded = True
     term.leader.tick(term.now)
-    (delete,) = [e for e in term.out.take() if isinstance(e, DeleteMachines)]
+    (delete,) = [e for e in term.outbox.take() if isinstance(e, DeleteMachines)]
     delete.continuation(True)
     # It was on its way when the machine was deleted, and shows our token.
-    assert term.hear((1, 41)) == [Response(1, 503, None, 1)]
+    assert term.receive_heartbeat((1, 41)) == [Response(1, 503, None, 1)]
     assert term.leader.cluster.machines == {}
 
 
 def test_a_late_heartbeat_copy_renews_nothing() -> None:
     term = Term()
-    term.hear((1, 40))
+    term.receive_heartbeat((1, 40))
     term.step(3.0)
     machine = term.leader.cluster.machines[MachineId("m-0")]
     before = (machine.last_heartbeat_at, machine.last_possible_renewal, machine.heartbeat_id)
     for seen in ((1, 40), (1, 7)):
-        assert term.hear(seen) == [Response(1, 503, None, 1)]
+        assert term.receive_heartbeat(seen) == [Response(1, 503, None, 1)]
     assert (
         machine.last_heartbeat_at,
         machine.last_possible_renewal,
@@ -58,41 +58,41 @@
 def test_heartbeats_delayed_by_a_cut_do_not_show_an_unresponsive_machine() -> None:
     term = Term()
     for sequence in range(1, 6):
-        term.hear((1, sequence))
+        term.receive_heartbeat((1, sequence))
         term.step(2.0)
     term.step(LEASE_S + 1.0)
     # All at once, when the cut ends: we answer the old ones too, but nobody waits for that.
     for seen in ((1, 6), (1, 7), (2, 8)):
-        term.hear(seen)
+        term.receive_heartbeat(seen)
     assert not term.decommissioning
 
 
 @pytest.mark.parametrize("agent_epoch", [1, 4])
 def test_a_machine_whose_agent_epochs_restart_is_returned(agent_epoch: int) -> None:
-    live, work = held(agent_epoch=4)
+    live, work = recorded_job(agent_epoch=4)
     term = Term(live, work)
-    term.hear((agent_epoch, 1), token=TOKEN - 1)
+    term.receive_heartbeat((agent_epoch, 1), token=TOKEN - 1)
     assert not term.decommissioning, "it may be an old copy"
     term.step(0.5)
-    term.hear((agent_epoch, 2))
+    term.receive_heartbeat((agent_epoch, 2))
     assert term.decommissioning == (agent_epoch == 1)
 
 
 def test_a_heartbeat_from_before_a_machine_restarted_proves_no_task_ended() -> None:
     # It had come to session 3, lost power, and counts from 1 again; a task was placed there since.
-    term = Term(*held(agent_epoch=1))
-    term.hear((1, 9))
+    term = Term(*recorded_job(agent_epoch=1))
+    term.receive_heartbeat((1, 9))
     machine = term.leader.cluster.machines[MachineId("m-0")]
     assert machine.allocations
-    assert term.hear((3, 52), token=TOKEN - 1) == [Response(1, 503, None, 1)]
+    assert term.receive_heartbeat((3, 52), token=TOKEN - 1) == [Response(1, 503, None, 1)]
     assert machine.allocations
 
 
 def test_a_later_agent_epoch_proves_that_tasks_ended_once_it_shows_our_token() -> None:
-    term = Term(*held(agent_epoch=1))
-    term.hear((3, 52), token=TOKEN - 1)
+    term = Term(*recorded_job(agent_epoch=1))
+    term.receive_heartbeat((3, 52), token=TOKEN - 1)
     machine = term.leader.cluster.machines[MachineId("m-0")]
     assert machine.allocations, "it may be a copy from before the machine lost power"
     term.step(0.5)
-    term.hear((3, 53))
+    term.receive_heartbeat((3, 53))
     assert not machine.allocations
--- a/tests/test_task_reports.py
+++ b/tests/test_task_reports.py
@@ -18,7 +18,7 @@
 from crosscleat.core.state.cluster import ClusterState
 from crosscleat.core.state.machine import NOWHERE, UNKNOWN_TYPE, Machine
 
-from .term import TOKEN, Term, held
+from .term import TOKEN, Term, recorded_job
 from .world import job
 
 
@@ -26,50 +26,50 @@
 def test_a_directly_started_task_is_not_cleared_while_a_repeat_could_start_it_again(
     cause: str, cleared: bool
 ) -> None:
-    term = Term(*held(agent_epoch=1))
-    term.hear((1, 1))
+    term = Term(*recorded_job(agent_epoch=1))
+    term.receive_heartbeat((1, 1))
     machine = term.leader.cluster.machines[MachineId("m-0")]
     term.leader.pending.send_soon(machine.id)
     term.leader.finish_step(term.now)
-    (start,) = [e for e in term.out.take() if isinstance(e, DirectCommand) and e.orders]
+    (start,) = [e for e in term.outbox.take() if isinstance(e, DirectCommand) and e.orders]
     task = TaskStatus(TaskId(JobRef("job-1"), 0), Attempt(1), "running", None)
     start.continuation(DirectReply(term.heartbeat("m-0", (1, 2), tasks=(task,)), True))
     # The store has it no longer; only what may still be on its way speaks against clearing.
     ended = msgspec.structs.replace(task, state="exited", cause=cause)
-    term.hear((1, 3), tasks=(ended,))
+    term.receive_heartbeat((1, 3), tasks=(ended,))
     for chunk in term.leader.jobs[JobRef("job-1")].chunks.values():
         chunk.recorded = frozenset()
-    (answer,) = term.hear((1, 4), tasks=(ended,))
+    (answer,) = term.receive_heartbeat((1, 4), tasks=(ended,))
     assert isinstance(answer, HeartbeatResponse)
     assert any(isinstance(order, ClearOrder) for order in answer.orders) == cleared
     # A higher token rules the repeat out.
     term.leader.term.election.token = Token(TOKEN + 5)
-    (answer,) = term.hear((1, 5), token=TOKEN + 5, tasks=(ended,))
+    (answer,) = term.receive_heartbeat((1, 5), token=TOKEN + 5, tasks=(ended,))
     assert isinstance(answer, HeartbeatResponse)
     assert any(isinstance(order, ClearOrder) for order in answer.orders)
 
 
 def test_a_task_that_the_store_still_names_is_not_cleared() -> None:
     """The next leader would send a start for it, and the worker would know nothing of it."""
-    term = Term(*held(agent_epoch=1))
+    term = Term(*recorded_job(agent_epoch=1))
     ended = TaskStatus(TaskId(JobRef("job-1"), 0), Attempt(1), "exited", "done")
     for sequence, named in ((1, True), (2, True), (3, False)):
         if not named:
             for chunk in term.leader.jobs[JobRef("job-1")].chunks.values():
                 chunk.recorded = frozenset()
-        (answer,) = term.hear((1, sequence), tasks=(ended,))
+        (answer,) = term.receive_heartbeat((1, sequence), tasks=(ended,))
         assert isinstance(answer, HeartbeatResponse)
         assert any(isinstance(order, ClearOrder) for order in answer.orders) != named
 
 
 def test_unknown_states_causes_and_fields_are_logged_once_and_end_nothing() -> None:
-    term = Term(*held(agent_epoch=1))
-    term.hear((1, 1))
+    term = Term(*recorded_job(agent_epoch=1))
+    term.receive_heartbeat((1, 1))
     odd = TaskStatus(TaskId(JobRef("job-1"), 0), Attempt(1), "dreaming", None)
     ended = TaskStatus(TaskId(JobRef("job-9"), 0), Attempt(1), "exited", "eaten")
     notes = []
     for sequence in range(2, 6):
-        effects = term.hear((1, sequence), tasks=(odd, ended))
+        effects = term.receive_heartbeat((1, sequence), tasks=(odd, ended))
         notes += [effect.text for effect in effects if isinstance(effect, LogRecord)]
         assert any(isinstance(effect, HeartbeatResponse) for effect in effects)
     assert [log for log in notes if "unknown words" in log] == [
--- a/tests/test_unresponsive_workers.py
+++ b/tests/test_unresponsive_workers.py
@@ -15,19 +15,19 @@
 def test_an_agent_epoch_that_ended_despite_responses_shows_an_unresponsive_machine() -> None:
     term = Term()
     for sequence in range(1, 6):
-        (answer,) = term.hear((1, sequence))
+        (answer,) = term.receive_heartbeat((1, sequence))
         assert isinstance(answer, HeartbeatResponse)
         term.step(2.0)
     assert term.usable
-    term.hear((2, 6))
+    term.receive_heartbeat((2, 6))
     assert term.decommissioning
 
 
 def test_an_agent_epoch_that_ended_in_a_cut_does_not_show_an_unresponsive_machine() -> None:
     term = Term()
-    term.hear((1, 1))
+    term.receive_heartbeat((1, 1))
     term.step(LEASE_S + 1.0)
-    term.hear((2, 2))
+    term.receive_heartbeat((2, 2))
     assert not term.decommissioning
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -27,7 +27,7 @@
 from crosscleat.core.state.placement_records import PlacementRecords
 from crosscleat.wire import peers
 
-from .effects import answered, only
+from .effects import only, only_response
 from .samples_394dfe6 import (
     FRAMES_394DFE6,
     LIVE_394DFE6,
@@ -99,9 +99,9 @@
 def test_the_leader_key_is_read_and_written_as_by_production() -> None:
     """Either version follows the other's leader, and may take its key over."""
     leader_394dfe6 = {"member": "c1", "boot": "0123456789abcdef", "lease": 7}
-    out = Outbox()
+    outbox = Outbox()
     election = Election(
-        Member("c1"), "0123456789abcdef", out, Random(1), lambda: NOW,
+        Member("c1"), "0123456789abcdef", outbox, Random(1), lambda: NOW,
         lambda _delay, _continuation: None, lambda _token: None, lambda _reason: None,
     )  # fmt: skip
     assert election._record(LeaseId(7)) == leader_394dfe6
@@ -111,13 +111,13 @@
 
 def test_what_production_says_of_an_ended_job_is_answered() -> None:
     for cancelled, status in ((False, "done"), (True, "aborted")):
-        requests, out = user_requests()
+        requests, outbox = user_requests()
         requests.cancel(1, JobRef("job-000412"))
-        only(out, Read).continuation(ReadResult(None, Version(8)))
+        only(outbox, Read).continuation(ReadResult(None, Version(8)))
         record = {"tasks": 3, "aborted": cancelled}
         item = Item("ended/job-000412", record, Version(7))
-        only(out, Read).continuation(ReadResult(item, Version(8)))
-        answer = answered(out)
+        only(outbox, Read).continuation(ReadResult(item, Version(8)))
+        answer = only_response(outbox)
         assert answer.status == 200 and answer.body["status"] == status
 
 
--- a/tests/test_upgrade_coordination.py
+++ b/tests/test_upgrade_coordination.py
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         self.keys: set[str] = set()
-        self.out = Outbox()
+        self.outbox = Outbox()
         self.completed = 0
         self.answers = True
 
@@ -37,11 +37,11 @@
         def completed() -> None:
             self.completed += 1
 
-        return Upgrade(Member(member), tuple(map(Member, MEMBERS)), self.out, completed)
+        return Upgrade(Member(member), tuple(map(Member, MEMBERS)), self.outbox, completed)
 
     def run(self, steps: int = 20) -> None:
         for _ in range(steps):
-            for effect in self.out.take():
+            for effect in self.outbox.take():
                 if isinstance(effect, Delay):
                     effect.continuation()
                 elif isinstance(effect, Commit):
@@ -85,10 +85,10 @@
 
 @pytest.mark.parametrize("complete", [False, True])
 def test_a_gang_is_rejected_at_once_until_all_controllers_have_changed(complete: bool) -> None:
-    requests, out = user_requests()
+    requests, outbox = user_requests()
     requests._all_know_gangs = lambda: complete
     requests.submit(1, job("job-g", tasks=2, shape=Shape.GANG), WallTime(0.0))
-    effects = out.take()
+    effects = outbox.take()
     if complete:
         assert any(isinstance(effect, Commit) for effect in effects)
         return
@@ -96,7 +96,7 @@
     # A repeat of one that was accepted is answered; what nobody knows is told when to come back.
     (scan,) = [effect for effect in effects if isinstance(effect, Scan)]
     scan.continuation(ScanResult([], Version(1)))
-    (read,) = [effect for effect in out.take() if isinstance(effect, Read)]
+    (read,) = [effect for effect in outbox.take() if isinstance(effect, Read)]
     read.continuation(ReadResult(None, Version(1)))
-    (answer,) = [effect for effect in out.take() if isinstance(effect, Response)]
+    (answer,) = [effect for effect in outbox.take() if isinstance(effect, Response)]
     assert answer.status == 503 and answer.retry_after_s == 1
--- a/tests/test_user_requests.py
+++ b/tests/test_user_requests.py
@@ -25,7 +25,7 @@
 )
 from crosscleat.core.state.job_records import live_record
 
-from .effects import answered, only
+from .effects import only, only_response
 from .user_requests import user_requests
 from .world import TYPES, job
 
@@ -35,9 +35,9 @@
 
 
 def submit(**changes: Any) -> list[Any]:
-    requests, out = user_requests()
+    requests, outbox = user_requests()
     requests.submit(1, job("job-1", **changes), WallTime(0.0))
-    return list(out.take())
+    return list(outbox.take())
 
 
 def test_a_long_list_of_types_still_fits_the_store() -> None:
@@ -64,83 +64,83 @@
 
 
 def test_without_machine_types_nothing_is_decided() -> None:
-    requests, out = user_requests(types=False)
+    requests, outbox = user_requests(types=False)
     requests.submit(1, job("job-1"), WallTime(0.0))
-    only(out, Scan).continuation(Unanswered())
-    (answer,) = out.take()
+    only(outbox, Scan).continuation(Unanswered())
+    (answer,) = outbox.take()
     assert answer == Response(1, 503, None, 1)
 
 
 def test_an_admission_that_met_the_job_answers_with_its_state() -> None:
-    requests, out = user_requests()
+    requests, outbox = user_requests()
     requests.submit(1, job("job-1"), WallTime(0.0))
-    only(out, Commit).continuation(Conflict(frozenset({"live/job-1"}), False))
-    only(out, Scan).continuation(ScanResult([live("job-1", 3)], Version(3)))
-    assert answered(out).body["status"] == "queued"
+    only(outbox, Commit).continuation(Conflict(frozenset({"live/job-1"}), False))
+    only(outbox, Scan).continuation(ScanResult([live("job-1", 3)], Version(3)))
+    assert only_response(outbox).body["status"] == "queued"
 
 
 def copied() -> tuple[UserRequests, Outbox]:
     """One whose copy has job-1 and job-2, as of revision 5."""
-    requests, out = user_requests()
+    requests, outbox = user_requests()
     requests.query(1, JobRef("job-1"))
-    only(out, Scan).continuation(ScanResult([live("job-1", 4), live("job-2", 5)], Version(5)))
-    assert out.take() == [
+    only(outbox, Scan).continuation(ScanResult([live("job-1", 4), live("job-2", 5)], Version(5)))
+    assert outbox.take() == [
         Response(1, 200, {"ref": "job-1", "status": "queued", "done": 0, "running": 0})
     ]
-    return requests, out
+    return requests, outbox
 
 
 def test_queries_share_a_read_that_began_after_them() -> None:
-    requests, out = copied()
+    requests, outbox = copied()
     requests.query(2, JobRef("job-1"))
     # Looks are not closer than the store's allowance admits.
-    pause = only(out, Delay)
+    pause = only(outbox, Delay)
     requests.query(3, JobRef("job-2"))
     pause.continuation()
-    look = only(out, Watch)
+    look = only(outbox, Watch)
     assert look.after == 5 and look.block_s == 0.0
     requests.query(4, JobRef("job-2"))
-    assert out.take() == [], "it came after the look began"
+    assert outbox.take() == [], "it came after the look began"
     look.continuation(WatchResult(Version(7), [live("job-1", 7, cancelled=True)]))
-    *answers, later = out.take()
+    *answers, later = outbox.take()
     assert [a.body["status"] for a in answers if isinstance(a, Response) and a.body] == [
         "aborted",
         "queued",
     ]
     assert len(answers) == 2 and isinstance(later, Delay)
     later.continuation()
-    look = only(out, Watch)
+    look = only(outbox, Watch)
     assert look.after == 7
     look.continuation(WatchResult(Version(9), [Item("live/job-2", None, Version(0))]))
-    read = only(out, Read)
+    read = only(outbox, Read)
     assert read.key == "ended/job-2"
     assert not read.for_user, "not from the allowance that questions about unknown jobs use up"
     read.continuation(
         ReadResult(Item("ended/job-2", {"tasks": 3, "aborted": False}, Version(9)), Version(9))
     )
-    answer = answered(out)
+    answer = only_response(outbox)
     assert answer.request == 4 and answer.body["status"] == "done"
 
 
 def test_a_failed_read_is_answered_at_once_and_an_outdated_copy_is_reloaded() -> None:
-    requests, out = copied()
+    requests, outbox = copied()
     requests.query(2, JobRef("job-1"))
-    only(out, Delay).continuation()
-    only(out, Watch).continuation(Unanswered())
-    assert out.take() == [Response(2, 503, None, 1)]
+    only(outbox, Delay).continuation()
+    only(outbox, Watch).continuation(Unanswered())
+    assert outbox.take() == [Response(2, 503, None, 1)]
     requests.query(3, JobRef("job-2"))
-    only(out, Delay).continuation()
-    only(out, Watch).continuation(WatchResult(Version(5), [], lost=True))
-    only(out, Scan).continuation(ScanResult([live("job-2", 99, cancelled=True)], Version(99)))
-    assert answered(out).body["status"] == "aborted"
+    only(outbox, Delay).continuation()
+    only(outbox, Watch).continuation(WatchResult(Version(5), [], lost=True))
+    only(outbox, Scan).continuation(ScanResult([live("job-2", 99, cancelled=True)], Version(99)))
+    assert only_response(outbox).body["status"] == "aborted"
 
 
 def test_an_unknown_job_is_answered_with_404() -> None:
-    requests, out = copied()
+    requests, outbox = copied()
     requests.query(2, JobRef("job-nobody"))
-    only(out, Delay).continuation()
-    only(out, Watch).continuation(WatchResult(Version(6), []))
-    read = only(out, Read)
+    only(outbox, Delay).continuation()
+    only(outbox, Watch).continuation(WatchResult(Version(6), []))
+    read = only(outbox, Read)
     assert read.for_user
     read.continuation(ReadResult(None, Version(6)))
-    assert out.take() == [Response(2, 404, None, None)]
+    assert outbox.take() == [Response(2, 404, None, None)]
--- a/tests/user_requests.py
+++ b/tests/user_requests.py
@@ -1,4 +1,4 @@
-"""The part of a controller that answers users, by itself, for the tests."""
+"""The part of a controller that answers users, on its own, for the tests."""
 
 from __future__ import annotations
 
@@ -10,6 +10,8 @@
 
 
 def user_requests(types: bool = True) -> tuple[UserRequests, Outbox]:
-    out = Outbox()
-    known = {kind.name: kind for kind in TYPES} if types else {}
-    return UserRequests(deployment("c0"), out, known, lambda: Seconds(100.0), lambda: True), out
+    outbox = Outbox()
+    known = {machine_type.name: machine_type for machine_type in TYPES} if types else {}
+    return UserRequests(
+        deployment("c0"), outbox, known, lambda: Seconds(100.0), lambda: True
+    ), outbox
