--- a/src/crosscleat/cli.py
+++ b/src/crosscleat/cli.py
@@ -108,7 +108,7 @@
         stream=sys.stderr,
     )
     # Only now: a check needs neither the event loop nor the HTTP library.
-    from .app import run
+    from .app import run  # noqa: PLC0415 - imported late on purpose
 
     run(settings, tuning)
     return 0
--- a/src/crosscleat/core/control/job_watch.py
+++ b/src/crosscleat/core/control/job_watch.py
@@ -47,8 +47,11 @@
         still_elected: Callable[[], bool],
         completed: Callable[[StoredState], None],
     ) -> None:
-        """`still_elected`: whether the term that this read is for goes on; an answer that comes
-        after its end is dropped. `completed` is called once, when all has been read."""
+        """Make a reader; `completed` is called once, when all has been read.
+
+        `still_elected` says whether the term that this read is for goes on: an answer that comes
+        after its end is dropped.
+        """
         self._outbox = outbox
         self._clock = clock
         self._still_elected = still_elected
--- a/src/crosscleat/core/control/user_requests.py
+++ b/src/crosscleat/core/control/user_requests.py
@@ -48,8 +48,11 @@
         clock: Callable[[], Seconds],
         all_know_gangs: Callable[[], bool],
     ) -> None:
-        """`types` is filled and renewed by the controller; `all_know_gangs`: whether every
-        controller runs a version that places a gang's tasks together."""
+        """Answer from `types`, which the controller fills and renews.
+
+        `all_know_gangs` says whether every controller runs a version that places a gang's tasks
+        together.
+        """
         self._deployment = deployment
         self._outbox = outbox
         self._types = types
--- a/src/crosscleat/core/election/election.py
+++ b/src/crosscleat/core/election/election.py
@@ -78,9 +78,11 @@
         elected: Callable[[Token], None],
         lost: Callable[[str], None],
     ) -> None:
-        """`boot` names this process among those of the same member; `later` runs a continuation
-        after a delay; `elected` is called with the token of a new term; `lost` when a term ends,
-        with the reason."""
+        """Take no part before `begin`; `boot` names this process among those of the same member.
+
+        `later` runs a continuation after a delay; `elected` is called with the token of a new
+        term; `lost` when a term ends, with the reason.
+        """
         self._member = member
         self._boot = boot
         self._outbox = outbox
--- a/src/crosscleat/core/scheduling/gang_placement.py
+++ b/src/crosscleat/core/scheduling/gang_placement.py
@@ -28,8 +28,10 @@
 
     @property
     def rank(self) -> tuple[float, int]:
-        """Larger is better. Among near equals the one on fewer machines: the loss of any ends the
-        attempt."""
+        """Larger is better.
+
+        Among near equals the one on fewer machines: the loss of any ends the attempt.
+        """
         return round(self.score, 2), -len({candidate.machine.id for candidate in self.candidates})
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,7 @@
-"""The same generated inputs in every run, and no judgement by how long they take; the failures
-that `KNOWN-RED.txt` lists are passed over."""
+"""The same generated inputs in every run, and no judgement by how long they take.
+
+The failures that `KNOWN-RED.txt` lists are passed over.
+"""
 
 import pytest
 from hypothesis import settings
--- a/tests/test_encoded_settings.py
+++ b/tests/test_encoded_settings.py
@@ -1,5 +1,7 @@
-"""What operators write: the settings file, flags, variables and the service's entry, by literal
-samples. Python names may change, these may not."""
+"""What operators write: the settings file, flags, variables and the service's entry.
+
+The samples are literal. Python names may change, these may not.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -1,6 +1,8 @@
-"""Meetings of troubles: each is brought about, with several seeds, and the service is held to every
-rule by the world, then to its end: what was accepted is done, answered for, and kept waiting by
-nothing."""
+"""Meetings of troubles, each brought about with several seeds.
+
+The service is held to every rule by the world, then to its end: what was accepted is done, answered
+for, and kept waiting by nothing.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -72,8 +72,11 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_late_starts_of_a_former_attempt_meet_no_other_attempt(seed: int) -> None:
-    """Direct starts are held up for seconds; meanwhile a part of the gang is lost, and all of it is
-    placed anew elsewhere: only what can't start any more is proven gone."""
+    """Only what can't start any more is proven gone.
+
+    Direct starts are held up for seconds; meanwhile a part of the gang is lost, and all of it is
+    placed anew elsewhere.
+    """
     world = world_with_gangs(seed, estimate_s=8.0, count=1)
     world.flaky = 0.6
     for number in range(1, 7):
--- a/tests/test_isolated.py
+++ b/tests/test_isolated.py
@@ -107,8 +107,10 @@
 
 @pytest.mark.parametrize("cut", [False, True])
 def test_a_live_leader_that_its_peers_believe_dead(busy: World, cut: bool) -> None:
-    """Seen in incident inc-2b0c: a filter between controllers refused connections, and the
-    followers ended the lease of a leader that lived, and whose workers it still reached."""
+    """Seen in incident inc-2b0c: a filter between controllers refused connections.
+
+    The followers ended the lease of a leader that lived, and whose workers it still reached.
+    """
     former, started = leader_of(busy), busy.started
     term = token_of(busy, former)
     for member in MEMBERS:
--- a/tests/test_outage_after_partition.py
+++ b/tests/test_outage_after_partition.py
@@ -123,8 +123,10 @@
 
 @pytest.mark.parametrize("scan", ["work/", "drop/"])
 def test_a_new_leader_misses_cancellations_confirmed_after_it_read_the_jobs(scan: str) -> None:
-    """It reads the jobs first; while it reads on, others confirm cancellations; then the store
-    is out before its watch has answered once."""
+    """It reads the jobs first; while it reads on, others confirm cancellations.
+
+    Then the store is out before its watch has answered once.
+    """
     world = at_work(estimate_s=200.0, for_s=20.0)
     world.cloud_down = True
     old = leader_of(world)
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -189,8 +189,11 @@
 
 
 def test_no_job_waits_for_long_while_a_machine_has_free_capacity_for_it() -> None:
-    """Neither what is kept for large tasks, nor what is left to urgent work, nor a failure there
-    keeps a job from all room that there is."""
+    """It may use all free capacity that there is.
+
+    Neither what is kept for large tasks, nor what is left to urgent work, nor a failure there
+    keeps it from any.
+    """
     large = make_job("job-large", tasks=1, cpus=8.0, priority=Priority.HIGH)
     large.submitted = Seconds(NOW - 70.0)
     kept = make_machine("m-0")
--- a/tests/world/cloud.py
+++ b/tests/world/cloud.py
@@ -73,7 +73,7 @@
 
         if self.world.rng.random() < self.world.flaky:
             # Carried out late, after the caller has given up.
-            self.world.clock.after(self.world.rng.choice((0.1, 20.0)), lambda: serve())
+            self.world.clock.after(self.world.rng.choice((0.1, 20.0)), serve)
             self.world.clock.after(1.0, lambda: reply(RentalUnanswered()))
         else:
             self.world.clock.after(0.2, lambda: reply(serve()))
--- a/tests/world/effects.py
+++ b/tests/world/effects.py
@@ -44,7 +44,7 @@
     def __init__(self, world: World) -> None:
         self.world = world
 
-    def carry_out(self, member: str, process: Process, effect: Effect) -> None:  # noqa: C901 - one case a message
+    def carry_out(self, member: str, process: Process, effect: Effect) -> None:  # noqa: C901, PLR0912 - one case an effect
         def reply(*results: Any) -> None:
             call: Any = effect
             self.world.deliver(member, process, CallCompleted(call.continuation, results))
@@ -55,7 +55,7 @@
                 if continuation is not None:
                     continuation(effect)
             case Delay():
-                self.world.clock.after(effect.delay_s, lambda: reply())
+                self.world.clock.after(effect.delay_s, reply)
             case BroadcastProgress():
                 progress = ProgressReceived(effect.message)
                 for other in MEMBERS:
--- a/tests/world/users.py
+++ b/tests/world/users.py
@@ -79,9 +79,8 @@
         """A submission that cannot be accepted: it fits no machine, or lacks a field."""
 
         def answered(answer: Response) -> None:
-            if answer.status != 503 and answer.status != (
-                200 if ref in self.world.accepted else status
-            ):
+            expected = 200 if ref in self.world.accepted else status
+            if answer.status not in (503, expected):
                 raise RuleBrokenError(f"{ref} gets {answer.status}, not {status}")
 
         number = JobRef(ref)
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -48,7 +48,7 @@
 class World:
     """What all of its parts share, and the switches of its faults."""
 
-    def __init__(self, seed: int, upgrade: bool = False) -> None:
+    def __init__(self, seed: int, upgrade: bool = False) -> None:  # noqa: PLR0915 - one statement an attribute
         """With `upgrade` all controllers begin as the old version, under the present limits."""
         self.rng = Random(seed)
         self.old_version: set[str] = set(MEMBERS) if upgrade else set()
