--- a/src/crosscleat/core/model/cloud_calls.py
+++ b/src/crosscleat/core/model/cloud_calls.py
@@ -3,21 +3,22 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 
+from .cloud import ListedMachine, MachineType
+
 
 class ListTypes(msgspec.Struct, frozen=True):
-    """Read the machine types."""
+    """Read the machine types with their present prices; None: the cloud did not answer."""
 
-    continuation: Callable[[Any], None]
+    continuation: Callable[[list[MachineType] | None], None]
 
 
 class ListMachines(msgspec.Struct, frozen=True):
-    """Read the machine list."""
+    """Read the whole machine list; None: the cloud did not answer."""
 
-    continuation: Callable[[Any], None]
+    continuation: Callable[[list[ListedMachine] | None], None]
 
 
 class Rented(msgspec.Struct, frozen=True):
@@ -53,3 +54,4 @@
 
     machines: tuple[str, ...]
     continuation: Callable[[bool], None]
+    """True: the cloud confirmed it."""
--- a/src/crosscleat/core/model/effects.py
+++ b/src/crosscleat/core/model/effects.py
@@ -1,7 +1,7 @@
-"""What the core asks of the outside: calls with a continuation, answers, and messages to peers.
+"""The effects of a controller's step: calls, answers to requests, and messages to peers.
 
-A call carries `then`, which the controller runs inside a later `step` with the call's
-result. The outside only carries calls out; it never decides.
+A call has a continuation, which the controller runs inside a later step with the call's result.
+Whoever carries effects out decides nothing.
 """
 
 from __future__ import annotations
@@ -12,6 +12,7 @@
 import msgspec
 
 from .cloud_calls import DeleteMachines, ListMachines, ListTypes, Rent
+from .shards import ShardProposal, ShardView
 from .store_calls import (
     Commit,
     GrantLease,
@@ -25,7 +26,7 @@
 
 
 class Response(msgspec.Struct, frozen=True):
-    """The answer to one request from outside."""
+    """The answer to one user's request: an HTTP status and a body, or none."""
 
     request: int
     status: int
@@ -34,30 +35,30 @@
 
 
 class Delay(msgspec.Struct, frozen=True):
-    """Run `then` after a delay."""
+    """Run the continuation in a step after this many seconds."""
 
     delay_s: float
     continuation: Callable[[], None]
 
 
 class BroadcastProgress(msgspec.Struct, frozen=True):
-    """A message for every other controller that listens."""
+    """Tell all other controllers the numbers of done and running tasks, by job."""
 
-    message: Any
+    counts: dict[str, tuple[int, int]]
 
 
 class ShardRequest(msgspec.Struct, frozen=True):
-    """The owner's part of a round, for it to plan."""
+    """Ask a shard owner to plan its shard of a full cycle."""
 
     member: str
-    view: Any
+    view: ShardView
 
 
 class ProposeShard(msgspec.Struct, frozen=True):
-    """Our choices for the part that a leader gave us."""
+    """Send the leader the assignments for the shard that it asked this controller to plan."""
 
     member: str
-    proposal: Any
+    proposal: ShardProposal
 
 
 class LogRecord(msgspec.Struct, frozen=True):
@@ -100,7 +101,7 @@
         self.effects: list[Effect] = []
 
     def add(self, effect: Effect) -> None:
-        """Do this outside, after the step."""
+        """Have the effect carried out after the step."""
         self.effects.append(effect)
 
     def log(self, level: str, text: str) -> None:
@@ -108,6 +109,6 @@
         self.effects.append(LogRecord(level, text))
 
     def take(self) -> list[Effect]:
-        """The effects so far, which are then no longer here."""
+        """Remove and return the effects so far, in order."""
         effects, self.effects = self.effects, []
         return effects
--- a/src/crosscleat/core/model/inputs.py
+++ b/src/crosscleat/core/model/inputs.py
@@ -18,7 +18,7 @@
 
 
 class Started(msgspec.Struct, frozen=True):
-    """The process is up."""
+    """The process has started; the first input."""
 
 
 class CallCompleted(msgspec.Struct, frozen=True):
@@ -58,7 +58,7 @@
 
 
 class HeartbeatReceived(msgspec.Struct, frozen=True):
-    """A worker's report, received here or relayed by another controller."""
+    """A heartbeat that a worker sent here, or that another controller relayed."""
 
     request: int
     heartbeat: Heartbeat
@@ -66,26 +66,26 @@
 
 
 class ProbeReply(msgspec.Struct, frozen=True):
-    """A worker's report that another controller brought at our request."""
+    """The status of a worker, from another controller that this one asked to probe it."""
 
     heartbeat: Heartbeat
 
 
 class ProgressReceived(msgspec.Struct, frozen=True):
-    """The leader's counts of done and running tasks, for display."""
+    """The leader's numbers of done and running tasks by job, for display."""
 
     counts: dict[str, tuple[int, int]]
 
 
 class ShardRequested(msgspec.Struct, frozen=True):
-    """A leader asks us to plan our part of a round."""
+    """A leader asks this controller to plan its shard of a full cycle."""
 
     member: Member
     view: ShardView
 
 
 class ShardProposed(msgspec.Struct, frozen=True):
-    """An owner's choices for its part."""
+    """The assignments that a shard owner proposes for its shard."""
 
     member: Member
     proposal: ShardProposal
--- a/src/crosscleat/core/model/store_calls.py
+++ b/src/crosscleat/core/model/store_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the state service and their results."""
+"""Calls to the key-value store and their outcomes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Put(msgspec.Struct, frozen=True):
-    """Write a key, under a lease or none."""
+    """Write a key; one under a lease goes away with it."""
 
     key: str
     value: Record
@@ -49,7 +49,7 @@
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """The keys in `failed` had other versions; nothing was written."""
+    """Compare-and-swap failed: the keys in `failed` had other versions, nothing was written."""
 
     failed: frozenset[str]
     repeated: bool
@@ -91,14 +91,15 @@
 
 
 class Commit(msgspec.Struct, frozen=True):
-    """A transaction: the writes are done if all keys have the given versions."""
+    """A compare-and-swap: all writes are carried out if all keys have these versions."""
 
     conditions: tuple[tuple[str, Version], ...]
     writes: tuple[Put | Remove, ...]
     continuation: Callable[[CommitOutcome], None]
     patience_s: float = 2.0
+    """How long it is repeated while the store does not decide."""
     for_user: bool = False
-    """A user waits: may share a transaction with others, and fails at once without a store."""
+    """A user waits: it may share a transaction with others, and fails at once in an outage."""
 
 
 class Read(msgspec.Struct, frozen=True):
@@ -129,7 +130,7 @@
 
 
 class GrantLease(msgspec.Struct, frozen=True):
-    """Ask for a lease."""
+    """Ask for a lease of `life_s` seconds."""
 
     life_s: float
     continuation: Callable[[LeaseId | Unanswered], None]
--- a/src/crosscleat/core/model/worker_calls.py
+++ b/src/crosscleat/core/model/worker_calls.py
@@ -1,4 +1,4 @@
-"""Commands to workers, in the responses to their heartbeats and sent directly."""
+"""Orders to workers, in the responses to their heartbeats and in direct commands."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class StopOrder(msgspec.Struct, frozen=True):
-    """Stop an attempt, which may save for so long."""
+    """Stop an attempt, which may save its progress for `grace_s` seconds."""
 
     task: str
     attempt: int
@@ -26,7 +26,7 @@
 
 
 class ClearOrder(msgspec.Struct, frozen=True):
-    """Forget an exited attempt."""
+    """Remove an exited attempt from the worker's reports."""
 
     task: str
     attempt: int
@@ -45,7 +45,7 @@
 
 
 class DirectCommand(msgspec.Struct, frozen=True):
-    """Orders sent straight to a worker."""
+    """Send orders straight to a worker; without orders, ask for its status."""
 
     address: str
     token: Token
@@ -55,7 +55,7 @@
 
 
 class IndirectProbe(msgspec.Struct, frozen=True):
-    """Asks the other controllers to bring the report of a worker that we do not hear."""
+    """Ask the other controllers for the status of a worker that does not answer this one."""
 
     address: str
     token: Token
@@ -63,7 +63,7 @@
 
 
 class HeartbeatResponse(msgspec.Struct, frozen=True):
-    """The answer to one worker's check-in."""
+    """The answer to one heartbeat."""
 
     request: int
     token: Token
--- a/tests/world/effects.py
+++ b/tests/world/effects.py
@@ -57,7 +57,7 @@
             case Delay():
                 self.world.clock.after(effect.delay_s, reply)
             case BroadcastProgress():
-                progress = ProgressReceived(effect.message)
+                progress = ProgressReceived(effect.counts)
                 for other in MEMBERS:
                     if other != member and self.world.network.connected(member, other):
                         self.world.clock.after(0.01, partial(self.world.receive, other, progress))
