--- a/src/crosscleat/core/control/assembly.py
+++ b/src/crosscleat/core/control/assembly.py
@@ -42,9 +42,11 @@
 from .pending_work import PendingWork
 from .placer import Placer
 from .progress import Progress
+from .response_check import ResponseCheck
 from .retries import Retries
 from .scheduler import Scheduler
 from .task_statuses import TaskStatuses
+from .worker_contact import WorkerContact
 from .write_outcomes import WriteOutcomes
 from .writer import Writer
 
@@ -74,6 +76,8 @@
 class _MachineParts:
     attempts: Attempts
     decommissioner: Decommissioner
+    contact: WorkerContact
+    responses: ResponseCheck
     liveness: Liveness
     machines: Machines
     machine_list: MachineList
@@ -148,6 +152,7 @@
         attempts=machines.attempts,
         gangs=planning.gangs,
         decommissioner=machines.decommissioner,
+        contact=machines.contact,
         liveness=machines.liveness,
         machines=machines.machines,
         machine_list=machines.machine_list,
@@ -178,7 +183,9 @@
         state.pending,
     )
     decommissioner = Decommissioner(term, state.pending)
-    liveness = Liveness(term.deployment, state.cluster, term.election, decommissioner, term.now)
+    contact = WorkerContact(term.deployment, term.now)
+    responses = ResponseCheck(term.deployment, state.cluster, decommissioner)
+    liveness = Liveness(term.deployment, term.election, contact, responses)
     machines = Machines(term, state.cluster, state.fleet.types)
     machine_list = MachineList(
         term, state.cluster, machines, liveness, decommissioner, state.pending
@@ -194,7 +201,15 @@
         state.interruptions,
     )
     return _MachineParts(
-        attempts, decommissioner, liveness, machines, machine_list, machine_watch, deletions
+        attempts,
+        decommissioner,
+        contact,
+        responses,
+        liveness,
+        machines,
+        machine_list,
+        machine_watch,
+        deletions,
     )
 
 
@@ -236,7 +251,7 @@
         state.term,
         state.cluster,
         parts.machines,
-        parts.liveness,
+        parts.contact,
         parts.decommissioner,
         task_statuses,
         parts.attempts,
@@ -245,7 +260,13 @@
     )
     commands = Commands(state.term, state.jobs, state.cluster, state.pending, processing)
     receiver = HeartbeatReceiver(
-        state.term, parts.machines, parts.liveness, processing, commands, state.pending
+        state.term,
+        parts.machines,
+        parts.contact,
+        parts.responses,
+        processing,
+        commands,
+        state.pending,
     )
     return _WorkerParts(task_statuses, processing, receiver, commands)
 
--- a/src/crosscleat/core/control/heartbeat_processing.py
+++ b/src/crosscleat/core/control/heartbeat_processing.py
@@ -15,9 +15,9 @@
 from ..state.machine import Machine
 from .attempts import Attempts
 from .evacuation import Evacuation
-from .liveness import Liveness
 from .pending_work import PendingWork
 from .task_statuses import TaskStatuses
+from .worker_contact import WorkerContact
 
 MAX_UNKNOWN_WORDS = 100
 """Unknown states and causes in heartbeats are logged and remembered up to this number."""
@@ -34,7 +34,7 @@
         term: LeadingTerm,
         cluster: ClusterState,
         machines: Machines,
-        liveness: Liveness,
+        contact: WorkerContact,
         decommissioner: Decommissioner,
         task_statuses: TaskStatuses,
         attempts: Attempts,
@@ -44,7 +44,7 @@
         self._term = term
         self._cluster = cluster
         self._machines = machines
-        self._liveness = liveness
+        self._contact = contact
         self._decommissioner = decommissioner
         self._task_statuses = task_statuses
         self._attempts = attempts
@@ -57,13 +57,13 @@
 
     def reply_received(self, machine: Machine, heartbeat: Heartbeat) -> None:
         """A direct command of ours to the machine was answered with a heartbeat."""
-        self._liveness.reached(self._term.now)
+        self._contact.reached(self._term.now)
         if heartbeat.machine == machine.id:
             self.receive_direct_reply(heartbeat)
 
     def reply_missed(self, machine: Machine) -> None:
         """A direct command of ours to the machine was not answered."""
-        self._liveness.missed(machine)
+        self._contact.missed(machine)
 
     def receive_direct_reply(self, heartbeat: Heartbeat) -> None:
         """Take in a heartbeat that answers a direct command, ours or another controller's."""
@@ -117,7 +117,7 @@
         """Take in the heartbeat's agent epoch, sequence and token."""
         new_epoch = heartbeat.heartbeat_id.agent_epoch > machine.heartbeat_id.agent_epoch
         machine.heartbeat_id = heartbeat.heartbeat_id
-        self._liveness.status_received()
+        self._contact.status_received()
         if not is_reply:
             machine.heartbeat_sequence = heartbeat.heartbeat_id.sequence
         elif new_epoch:
--- a/src/crosscleat/core/control/heartbeat_receiver.py
+++ b/src/crosscleat/core/control/heartbeat_receiver.py
@@ -9,8 +9,9 @@
 from ..model.ids import Seconds, Token
 from .commands import Commands
 from .heartbeat_processing import HIGHER_TOKEN_SEEN, HeartbeatProcessing
-from .liveness import ANSWERED_LEASES, Liveness
 from .pending_work import PendingWork
+from .response_check import ANSWERED_LEASES, ResponseCheck
+from .worker_contact import WorkerContact
 
 
 class HeartbeatReceiver:
@@ -20,14 +21,16 @@
         self,
         term: LeadingTerm,
         machines: Machines,
-        liveness: Liveness,
+        contact: WorkerContact,
+        responses: ResponseCheck,
         processing: HeartbeatProcessing,
         commands: Commands,
         pending: PendingWork,
     ) -> None:
         self._term = term
         self._machines = machines
-        self._liveness = liveness
+        self._contact = contact
+        self._responses = responses
         self._processing = processing
         self._commands = commands
         self._pending = pending
@@ -35,7 +38,7 @@
     def receive(self, request: int, heartbeat: Heartbeat, now: Seconds, relayed: bool) -> None:
         """Take in a heartbeat and answer it; `relayed`: it came through another controller."""
         if not relayed:
-            self._liveness.reached(now)
+            self._contact.reached(now)
         if not self._may_answer(heartbeat, self._term.election.token, now):
             self._refuse(request)
             return
@@ -44,9 +47,9 @@
             # Late or repeated: the worker no longer waits for the answer and would drop it.
             self._refuse(request)
             return
-        self._liveness.check_answers_arrive(machine, heartbeat, now)
+        self._responses.check(machine, heartbeat, now)
         self._processing.apply(machine, heartbeat, is_reply=False)
-        self._liveness.heartbeat_received(now)
+        self._contact.heartbeat_received(now)
         if not machine.confirmed_in_term:
             self._pending.queue_heartbeat_requests([machine])
         self._commands.answer(request, machine, now, heartbeat.heartbeat_id.sequence)
--- a/src/crosscleat/core/control/leader.py
+++ b/src/crosscleat/core/control/leader.py
@@ -39,6 +39,7 @@
 from .progress import Progress
 from .scheduler import Scheduler
 from .task_statuses import TaskStatuses
+from .worker_contact import WorkerContact
 from .write_outcomes import WriteOutcomes
 from .writer import Writer
 
@@ -66,6 +67,7 @@
     attempts: Attempts
     gangs: GangControl
     decommissioner: Decommissioner
+    contact: WorkerContact
     liveness: Liveness
     machines: Machines
     machine_list: MachineList
@@ -109,7 +111,7 @@
                 job.resume_delayed(now)
         if self.pending.incomplete_gangs:
             self.pending.cycle_wanted = True
-        self.liveness.tick()
+        self.contact.tick()
         if now >= self._watch_at:
             machines = len(self.cluster.machines)
             self._watch_at = Seconds(now + machines / WATCHED_PER_S - TICK_SLACK_S)
--- a/src/crosscleat/core/model/deployment.py
+++ b/src/crosscleat/core/model/deployment.py
@@ -63,6 +63,11 @@
     """What the state service allows, now and later (`state.next`)."""
     tuning: TuningOptions = field(default_factory=TuningOptions)
 
+    @property
+    def silent_s(self) -> float:
+        """After so long without a heartbeat a machine is given up."""
+        return self.tuning.silence_leases * self.lease_s
+
     def class_limits(self, kind: str, job_class: str) -> tuple[float, ...]:
         """The times that the aims of this kind give a class."""
         return tuple(
