--- a/src/crosscleat/core/control/retries.py
+++ b/src/crosscleat/core/control/retries.py
@@ -5,7 +5,7 @@
 from ..election.term import LeadingTerm
 from ..model import heartbeats
 from ..model.ids import JobRef, Seconds
-from ..scheduling.free_capacity import fails_repeatedly
+from ..scheduling.job_selection import fails_repeatedly
 from ..state.jobs import Job
 from ..state.machine import Machine
 
--- a/src/crosscleat/core/control/scheduler.py
+++ b/src/crosscleat/core/control/scheduler.py
@@ -12,10 +12,10 @@
 from ..election.term import LeadingTerm
 from ..model.ids import JobRef, Member, Seconds
 from ..model.shards import ShardProposal
+from ..scheduling.assignments import Assignment
 from ..scheduling.cycle import MAX_ASSIGNMENTS
 from ..scheduling.feasibility import CycleContext
-from ..scheduling.free_capacity import Assignment
-from ..scheduling.preemption import INTERVAL_S, choose_victims
+from ..scheduling.preemption import PREEMPTION_INTERVAL_S, choose_victims
 from ..scheduling.scoring import RunTimes
 from ..scheduling.shard_dispatch import ShardDispatcher
 from ..scheduling.sharding import ShardInputs
@@ -114,7 +114,7 @@
         self._preemption_deferred = now < self._preempt_at
         if self._preemption_deferred:
             return
-        self._preempt_at = Seconds(now + INTERVAL_S)
+        self._preempt_at = Seconds(now + PREEMPTION_INTERVAL_S)
         context = CycleContext(self._cluster, self._term.deployment.teams, now)
         victims = choose_victims(context, self._jobs, jobs, machines, self._rng)
         for machine, allocation in victims:
--- a/src/crosscleat/core/scheduling/assignment_search.py
+++ b/src/crosscleat/core/scheduling/assignment_search.py
@@ -10,12 +10,12 @@
 import math
 from typing import NamedTuple
 
-from ..model.ids import Seconds
 from ..state.jobs import Job
+from .assignments import Assignment
 from .feasibility import Feasibility
-from .free_capacity import Assignment, FreeCapacity, fails_repeatedly
+from .free_capacity import FreeCapacity
 from .gang_placement import GangPlacer
-from .job_selection import JobSelection
+from .job_selection import JobSelection, fails_repeatedly
 from .ranking import CandidateRanking
 
 
@@ -39,13 +39,11 @@
         ranking: CandidateRanking,
         gangs: GangPlacer,
         selection: JobSelection,
-        now: Seconds,
     ) -> None:
         self._feasibility = feasibility
         self._ranking = ranking
         self._gangs = gangs
         self._selection = selection
-        self._now = now
         self._heap: list[BestPair] = []
         self._entries = 0
         self.assignments: list[Assignment] = []
@@ -61,7 +59,7 @@
         score, candidate = best
         if self._selection.must_start_next(job):
             score = -math.inf
-        negated_age = job.submitted - self._now
+        negated_age = job.submitted - self._feasibility.now
         heapq.heappush(self._heap, BestPair(score, negated_age, self._entries, job, candidate))
 
     def commit(self, max_assignments: int) -> None:
--- a/src/crosscleat/core/scheduling/cycle.py
+++ b/src/crosscleat/core/scheduling/cycle.py
@@ -13,8 +13,9 @@
 from ..state.jobs import Job
 from ..state.machine import Machine
 from .assignment_search import AssignmentSearch
+from .assignments import Assignment, Reservation
 from .feasibility import CycleContext, Feasibility
-from .free_capacity import Assignment, FreeCapacity, Reservation, fetch_time
+from .free_capacity import FreeCapacity, fetch_time
 from .gang_placement import GangPlacer
 from .job_selection import JobSelection
 from .ranking import CandidateRanking, machines_per_job, open_candidates
@@ -68,15 +69,14 @@
         max_assignments: int,
     ) -> list[Assignment]:
         max_sample = machines_per_job(len(waiting))
-        selection = JobSelection(feasibility, self._scorer, self._rng, self._context.now)
+        selection = JobSelection(feasibility, self._scorer, self._rng)
         selected = selection.sample(waiting)
         scorer = self._pair_scorer(feasibility, selected)
         search = AssignmentSearch(
             feasibility,
-            self._ranking(candidates, max_sample, feasibility, scorer),
-            self._gang_placer(feasibility, scorer),
+            CandidateRanking(candidates, max_sample, feasibility, scorer, self._rng),
+            GangPlacer(feasibility, scorer, self._scorer.deployment),
             selection,
-            self._context.now,
         )
         set_aside = []
         for job in selected:
@@ -110,8 +110,8 @@
         feasibility = Feasibility(self._context, machines)
         candidates = open_candidates(feasibility.candidates, [job], self._context.now)
         scorer = self._pair_scorer(feasibility, [job])
-        ranking = self._ranking(candidates, len(candidates), feasibility, scorer)
-        gangs = self._gang_placer(feasibility, scorer)
+        ranking = CandidateRanking(candidates, len(candidates), feasibility, scorer, self._rng)
+        gangs = GangPlacer(feasibility, scorer, self._scorer.deployment)
         chosen = gangs.complete(job, ranking.candidates(job), left_s)
         return [Assignment(job.ref, candidate.machine.id) for candidate in chosen]
 
@@ -131,20 +131,6 @@
             feasibility.candidates, waiting, self._scorer, now, feasibility.team_admits
         )
 
-    def _ranking(
-        self,
-        candidates: list[FreeCapacity],
-        max_sample: int,
-        feasibility: Feasibility,
-        scorer: PairScorer,
-    ) -> CandidateRanking:
-        return CandidateRanking(
-            candidates, max_sample, feasibility, scorer, self._rng, self._context.now
-        )
-
-    def _gang_placer(self, feasibility: Feasibility, scorer: PairScorer) -> GangPlacer:
-        return GangPlacer(feasibility, scorer, self._scorer.deployment, self._context.now)
-
     def _pair_scorer(self, feasibility: Feasibility, jobs: Iterable[Job]) -> PairScorer:
         """Scores relative to the highest cost of any of the jobs on any type of machine."""
         machines = (candidate.machine for candidate in feasibility.candidates)
--- a/src/crosscleat/core/scheduling/feasibility.py
+++ b/src/crosscleat/core/scheduling/feasibility.py
@@ -14,7 +14,8 @@
 from ..state.cluster import ClusterState
 from ..state.jobs import Job
 from ..state.machine import Machine
-from .free_capacity import FreeCapacity, Reservation, fetch_time
+from .assignments import Reservation
+from .free_capacity import FreeCapacity, fetch_time
 from .quota import within_limit
 
 RESERVED_FROM_ALL_AFTER_S = 60.0
@@ -32,13 +33,13 @@
 """A task that takes so much of a machine finds no place where small ones take whatever is freed."""
 
 URGENT_QUOTA_SHARE = 0.05
-"""At most this part of a team's limit is left to urgent work."""
+"""The share of a team's limit that is left to urgent work at the most."""
 
 URGENT_QUOTA_FROM = 0.5
-"""From which part of the limit in use something of it is left to urgent work."""
+"""Nothing of a team's limit is left to urgent work until this share of it is in use."""
 
 URGENT_QUOTA_RESERVES = 2.0
-"""How many times the reserve for urgent work is left of a team's limit."""
+"""What is left of a team's limit to urgent work, as a multiple of the urgent reserve."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CycleContext:
-    """What a scheduling cycle or a preemption pass is planned with."""
+    """The state that a scheduling cycle or a preemption pass is planned on."""
 
     cluster: ClusterState
     teams: dict[Team, TeamLimits]
@@ -64,13 +65,17 @@
 
 
 class Feasibility:
-    """The free capacity and quota of a cycle as they are being used up."""
+    """The free capacity and quota of a cycle as they are being used up.
+
+    `candidates` are the free capacities of all its machines.
+    """
 
     def __init__(self, context: CycleContext, machines: Iterable[Machine]) -> None:
         """`machines` are those on which the cycle may place."""
         self._cluster = context.cluster
         self._teams = context.teams
-        self._now = context.now
+        self.now = context.now
+        """The moment that the cycle plans for."""
         self._urgent_reserve = context.reserves.urgent_cpus
         self._backfill_reserve = context.reserves.backfill_cpus
         self._cpus = dict(context.cluster.team_cpus)
@@ -90,13 +95,16 @@
         return self._taken.get(job.ref, 0)
 
     def ignores_reserves(self, job: Job) -> bool:
-        """Whether its next task may use free capacity that is left to other work."""
-        first = job.is_gang or job.ref not in self._taken
-        return first and job.idle_duration_s(self._now) > IGNORES_RESERVES_AFTER_S
+        """Whether its next task may use free capacity that is left to other work.
+
+        Only the first task of a job that has waited for too long without any may.
+        """
+        is_first_task = job.is_gang or job.ref not in self._taken
+        return is_first_task and job.idle_duration_s(self.now) > IGNORES_RESERVES_AFTER_S
 
     def gang_goes_first(self, job: Job) -> bool:
         """Whether it is a gang that has waited for so long that it goes before all others."""
-        return job.is_gang and job.idle_duration_s(self._now) > GANG_FIRST_AFTER_S
+        return job.is_gang and job.idle_duration_s(self.now) > GANG_FIRST_AFTER_S
 
     def admits(self, job: Job, candidate: FreeCapacity) -> bool:
         """Whether the job's next task may go there."""
@@ -128,7 +136,7 @@
         if self.gang_goes_first(job):
             # Of two gangs the older has reserved what both would use.
             return not reservation.gang
-        waited = self._now - reservation.submitted
+        waited = self.now - reservation.submitted
         return job.spec.priority > reservation.priority and waited < RESERVED_FROM_ALL_AFTER_S
 
     def _takes_large_share(self, job: Job, candidate: FreeCapacity) -> bool:
@@ -213,11 +221,11 @@
             candidate.fetching_s = max(candidate.fetching_s, self._fetches[key])
 
     def fetch_s(self, job: Job, candidate: FreeCapacity) -> float:
-        """How long the machine will still need for the job's image, behind its other fetches."""
+        """Seconds until the machine has the job's image, behind its other fetches."""
         machine = candidate.machine
         ready = machine.images.get(job.spec.image)
         if ready is not None:
-            return max(0.0, ready - self._now)
+            return max(0.0, ready - self.now)
         fetching = self._fetches.get((machine.id, job.spec.image))
         if fetching is not None:
             return fetching
--- a/src/crosscleat/core/scheduling/free_capacity.py
+++ b/src/crosscleat/core/scheduling/free_capacity.py
@@ -4,15 +4,13 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass
-from typing import NamedTuple, Protocol, TypeVar
-
-import msgspec
+from typing import Protocol, TypeVar
 
 from ..model.cloud import MachineType
-from ..model.ids import JobRef, MachineId, Seconds, Zone
-from ..model.job_spec import JobSpec, Priority
-from ..state.jobs import Job
+from ..model.ids import Zone
+from ..model.job_spec import JobSpec
 from ..state.machine import Machine
+from .assignments import Reservation
 
 ROUNDING = 1e-9
 """Sums of decimal amounts may be off by so much."""
@@ -20,32 +18,13 @@
 UNBOUNDED_TASKS = 1e6
 """How many tasks fit anywhere if one of them needs nothing."""
 
-REPEATED_FAILURE_MACHINES = 2
-"""A job that failed on so many machines and succeeded on none is tried one task at a time."""
-
-
-class Assignment(msgspec.Struct, frozen=True):
-    """One task of the job is to be placed on the machine."""
-
-    job: JobRef
-    machine: MachineId
-
-
-class Reservation(NamedTuple):
-    """The job for whose tasks a machine is being emptied."""
-
-    job: JobRef
-    priority: Priority
-    submitted: Seconds
-    gang: bool = False
-
 
 @dataclass(slots=True)
 class FreeCapacity:
     """What of a machine no allocation takes, less what its user has counted into it since.
 
     Scheduling cycles, preemption and scale-out each make their own from the machine's allocations
-    and use it up. Amounts may be below zero by rounding, or where a machine's type has shrunk.
+    and use it up. Amounts may be below zero by rounding, or while a machine's type is unknown.
     """
 
     machine: Machine
@@ -138,11 +117,6 @@
     return int(smallest + ROUNDING)
 
 
-def fails_repeatedly(job: Job) -> bool:
-    """Whether the job has failed on several machines and succeeded on none."""
-    return not job.succeeded and len(job.failed_on) >= REPEATED_FAILURE_MACHINES
-
-
 def fetch_time(spec: JobSpec, machine_type: MachineType) -> float:
     """Seconds that a machine of this type takes to fetch the job's image."""
     rate = machine_type.fetch_gb_per_s
--- a/src/crosscleat/core/scheduling/gang_placement.py
+++ b/src/crosscleat/core/scheduling/gang_placement.py
@@ -39,12 +39,11 @@
     """Finds places for gangs in one cycle."""
 
     def __init__(
-        self, feasibility: Feasibility, scorer: PairScorer, deployment: Deployment, now: Seconds
+        self, feasibility: Feasibility, scorer: PairScorer, deployment: Deployment
     ) -> None:
         self._feasibility = feasibility
         self._scorer = scorer
         self._deployment = deployment
-        self._now = now
 
     def place(self, job: Job, ranked: list[FreeCapacity]) -> list[FreeCapacity]:
         """Take the best places for all its tasks, one entry a task; none if they do not all fit.
@@ -127,12 +126,12 @@
 
     def _start_s(self, job: Job, candidate: FreeCapacity) -> float:
         """Seconds until a task placed there now has its image."""
-        delay_s = start_delay_s(candidate.machine, self._deployment, self._now)
+        delay_s = start_delay_s(candidate.machine, self._deployment, self._feasibility.now)
         return delay_s + self._feasibility.fetch_s(job, candidate)
 
     def _score(self, job: Job, candidates: list[FreeCapacity], start_s: float) -> float:
         """Of the gang as a whole: utility at its last start, mean cost of a task."""
-        age = Seconds(self._now - job.submitted)
+        age = Seconds(self._feasibility.now - job.submitted)
         scores = (
             self._scorer.score(
                 job, age, candidate.machine.type, candidate.machine.spot or job.at_risk, start_s
--- a/src/crosscleat/core/scheduling/job_selection.py
+++ b/src/crosscleat/core/scheduling/job_selection.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from ..model.ids import JobRef, Seconds
+from ..model.ids import JobRef
 from ..state.jobs import Job
 from .feasibility import Feasibility
 from .scoring import Scorer
@@ -17,14 +17,22 @@
 """A job that has waited so long without a start goes next, whatever else waits."""
 
 
+REPEATED_FAILURE_MACHINES = 2
+"""A job that failed on so many machines and succeeded on none is tried one task at a time."""
+
+
+def fails_repeatedly(job: Job) -> bool:
+    """Whether the job has failed on several machines and succeeded on none."""
+    return not job.succeeded and len(job.failed_on) >= REPEATED_FAILURE_MACHINES
+
+
 class JobSelection:
     """Compares waiting jobs by what the next task of each would be worth."""
 
-    def __init__(self, feasibility: Feasibility, scorer: Scorer, rng: Random, now: Seconds) -> None:
+    def __init__(self, feasibility: Feasibility, scorer: Scorer, rng: Random) -> None:
         self._feasibility = feasibility
         self._scorer = scorer
         self._rng = rng
-        self._now = now
         self._drop_threshold = scorer.deployment.tuning.drop_threshold
         self._utilities: dict[JobRef, float] = {}
 
@@ -53,7 +61,7 @@
         """
         if self._feasibility.gang_goes_first(job):
             return True
-        age = self._now - job.submitted
+        age = self._feasibility.now - job.submitted
         return age > MUST_START_AFTER_S and not job.ever_placed and not self._feasibility.taken(job)
 
     def is_set_aside(self, job: Job) -> bool:
@@ -66,7 +74,7 @@
         """What the next task would be worth if it started now (paper section 3.3)."""
         utility = self._utilities.get(job.ref)
         if utility is None:
-            age = self._now - job.submitted
+            age = self._feasibility.now - job.submitted
             utility = self._scorer.utility(job.spec, age, age + self._scorer.remaining_s(job))
             self._utilities[job.ref] = utility
         return utility
--- a/src/crosscleat/core/scheduling/preemption.py
+++ b/src/crosscleat/core/scheduling/preemption.py
@@ -2,8 +2,8 @@
 
 Work yields to work of a higher priority if its own is the lowest, or if its team has no guarantee;
 and work of a team without a guarantee yields to a team that is within its own.
-A task that was told to stop keeps its allocation until its end is proven, so the capacity that is
-being freed is counted before more tasks are stopped, and a later cycle places what waits.
+A stopping task keeps its allocation until its end is proven, so the capacity that is being freed is
+counted before more tasks are stopped, and a later cycle places what waits.
 """
 
 from __future__ import annotations
@@ -21,16 +21,17 @@
 from ..state.jobs import Job
 from ..state.machine import Machine
 from .feasibility import CycleContext
-from .free_capacity import FreeCapacity, fails_repeatedly
+from .free_capacity import FreeCapacity
+from .job_selection import fails_repeatedly
 from .quota import tasks_within_limit
 
-INTERVAL_S = 0.5
-"""Seconds between two passes that choose tasks to stop."""
+PREEMPTION_INTERVAL_S = 0.5
+"""Seconds between two passes."""
 
-MAX_STOPPED = 64
-"""Tasks that are told to stop at a time."""
+MAX_VICTIMS = 64
+"""Tasks that one pass stops."""
 
-MAX_MACHINES = 400
+MAX_MACHINES_PER_JOB = 400
 """Machines that are considered for one job; of more, a sample."""
 
 COUNTED_START_S = 30.0
@@ -49,7 +50,7 @@
 
 
 @dataclass(slots=True, order=True)
-class Option:
+class PreemptionOption:
     """What would have to be stopped on a machine for one more task of a job."""
 
     loss: float
@@ -93,16 +94,17 @@
         self._running = running
         self._rng = rng
         self._candidates: dict[MachineId, FreeCapacity] = {}
-        """What is free once all that was told to stop has ended, less what this pass counts in."""
+        """What is free once all stopping tasks have ended, less what this pass counts in."""
         self._cpus = dict(context.cluster.team_cpus)
         self._chosen: list[Victim] = []
         self._stopped: set[tuple[MachineId, AttemptKey]] = set()
         """What this pass has chosen."""
 
     def choose(self, waiting: Iterable[Job]) -> list[Victim]:
+        """See `choose_victims`."""
         found = [job for job in waiting if self._may_preempt(job)]
         for job in sorted(found, key=lambda job: (-job.spec.priority, job.submitted)):
-            if len(self._chosen) >= MAX_STOPPED:
+            if len(self._chosen) >= MAX_VICTIMS:
                 break
             self._choose_for(job)
         return self._chosen
@@ -138,7 +140,7 @@
             if (option := self._option(job, candidate)) is not None
         ]
         heapq.heapify(options)
-        while options and wanted > 0 and len(self._chosen) < MAX_STOPPED:
+        while options and wanted > 0 and len(self._chosen) < MAX_VICTIMS:
             option = heapq.heappop(options)
             self._stop(option)
             wanted -= self._count_in(job, [option.candidate], wanted)
@@ -161,8 +163,8 @@
             if self._yields(team, priority, job):
                 found.update(dict.fromkeys(machines))
         ids = list(found)
-        if len(ids) > MAX_MACHINES:
-            ids = self._rng.sample(ids, MAX_MACHINES)
+        if len(ids) > MAX_MACHINES_PER_JOB:
+            ids = self._rng.sample(ids, MAX_MACHINES_PER_JOB)
         candidates = (self._candidate(job, machine_id) for machine_id in ids)
         return [candidate for candidate in candidates if candidate is not None]
 
@@ -198,7 +200,7 @@
         self._cpus[team] = self._cpus.get(team, 0.0) + counted * job.spec.cpus
         return counted
 
-    def _option(self, job: Job, candidate: FreeCapacity) -> Option | None:
+    def _option(self, job: Job, candidate: FreeCapacity) -> PreemptionOption | None:
         """The cheapest tasks to stop there so that one task of the job fits."""
         freed = candidate.amounts()
         victims: list[Allocation] = []
@@ -211,7 +213,9 @@
             freed.give_back(allocation.spec)
             victims.append(allocation)
             loss += allocation_loss
-        return Option(loss, candidate, victims) if victims and freed.fits(job.spec) else None
+        return (
+            PreemptionOption(loss, candidate, victims) if victims and freed.fits(job.spec) else None
+        )
 
     def _stoppable(self, job: Job, machine: Machine) -> Iterator[tuple[float, Allocation]]:
         for allocation in machine.allocations.values():
@@ -240,7 +244,7 @@
             ran_s = min(ran_s, allocation.spec.save_s)
         return allocation.spec.cpus * ran_s
 
-    def _stop(self, option: Option) -> None:
+    def _stop(self, option: PreemptionOption) -> None:
         for allocation in option.victims:
             self._stopped.add((allocation.machine, allocation.key))
             option.candidate.give_back(allocation.spec)
--- a/src/crosscleat/core/scheduling/ranking.py
+++ b/src/crosscleat/core/scheduling/ranking.py
@@ -57,7 +57,6 @@
         feasibility: Feasibility,
         scorer: PairScorer,
         rng: Random,
-        now: Seconds,
     ) -> None:
         """Of more than `max_sample` candidates each job gets a random sample of that size."""
         self._candidates = candidates
@@ -65,7 +64,6 @@
         self._feasibility = feasibility
         self._scorer = scorer
         self._rng = rng
-        self._now = now
         self._ranked: dict[JobRef, deque[Ranked]] = {}
         """Of each job, without those that have been used up."""
 
@@ -88,7 +86,7 @@
         return [candidate for _, candidate in self._rank(job)]
 
     def _rank(self, job: Job) -> deque[Ranked]:
-        age = Seconds(self._now - job.submitted)
+        age = Seconds(self._feasibility.now - job.submitted)
         scores: dict[tuple[TypeName, bool, float], float] = {}
         found = []
         for number, candidate in enumerate(self._sample(job)):
--- a/src/crosscleat/core/scheduling/reservations.py
+++ b/src/crosscleat/core/scheduling/reservations.py
@@ -14,8 +14,9 @@
 from ..model.ids import Seconds, TypeName, Zone
 from ..state.jobs import Job
 from ..state.machine import Machine
+from .assignments import Reservation
 from .feasibility import LARGE_SHARE
-from .free_capacity import FreeCapacity, Reservation, by_zone, count_fitting
+from .free_capacity import FreeCapacity, by_zone, count_fitting
 from .scoring import Scorer
 
 RESERVE_AFTER_S = 5.0
--- a/src/crosscleat/core/scheduling/shard_dispatch.py
+++ b/src/crosscleat/core/scheduling/shard_dispatch.py
@@ -11,7 +11,7 @@
 from ..model.shards import ShardProposal
 from ..state.cluster import ClusterState
 from ..state.jobs import Job
-from .free_capacity import Assignment
+from .assignments import Assignment
 from .sharding import ShardInputs, build_shard_view, is_shardable, quota_shares, shard_owner
 
 PROPOSAL_TIMEOUT_S = 0.4
--- a/src/crosscleat/core/scheduling/shard_planning.py
+++ b/src/crosscleat/core/scheduling/shard_planning.py
@@ -15,9 +15,9 @@
 from ..state.cluster import ClusterState
 from ..state.jobs import Job
 from ..state.machine import Machine
+from .assignments import Reservation
 from .cycle import MAX_ASSIGNMENTS, SchedulingCycle
 from .feasibility import CycleContext, CycleReserves
-from .free_capacity import Reservation
 from .scoring import RunTimes, Scorer
 
 
--- a/src/crosscleat/core/scheduling/sharding.py
+++ b/src/crosscleat/core/scheduling/sharding.py
@@ -21,7 +21,8 @@
 from ..state.cluster import ClusterState
 from ..state.jobs import Job
 from ..state.machine import Machine
-from .free_capacity import Reservation, fails_repeatedly
+from .assignments import Reservation
+from .job_selection import fails_repeatedly
 
 MAX_VIEW_JOBS = 60
 """Jobs that one view shows; the leader plans the others."""
--- a/tests/planning.py
+++ b/tests/planning.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from crosscleat.core.model.ids import MachineId, Seconds, Version, Zone
+from crosscleat.core.scheduling.assignments import Assignment
 from crosscleat.core.scheduling.cycle import SchedulingCycle
 from crosscleat.core.scheduling.feasibility import CycleContext, CycleReserves
-from crosscleat.core.scheduling.free_capacity import Assignment
 from crosscleat.core.scheduling.scoring import RunTimes, Scorer
 from crosscleat.core.state.cluster import ClusterState
 from crosscleat.core.state.jobs import Job
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -9,9 +9,9 @@
 
 from crosscleat.core.model.ids import Image, JobRef, MachineId, Seconds, Team
 from crosscleat.core.model.job_spec import Priority, Shape
+from crosscleat.core.scheduling.assignments import Reservation
 from crosscleat.core.scheduling.cycle import SchedulingCycle
 from crosscleat.core.scheduling.feasibility import CycleContext, CycleReserves
-from crosscleat.core.scheduling.free_capacity import Reservation
 from crosscleat.core.scheduling.scoring import RunTimes, Scorer
 from crosscleat.core.state.cluster import ClusterState
 from crosscleat.core.state.jobs import Job
--- a/tests/test_partitioning.py
+++ b/tests/test_partitioning.py
@@ -22,7 +22,7 @@
 from crosscleat.core.model.job_spec import Priority
 from crosscleat.core.model.shards import ShardProposal, ShardView
 from crosscleat.core.model.store_calls import Item
-from crosscleat.core.scheduling.free_capacity import Reservation
+from crosscleat.core.scheduling.assignments import Reservation
 from crosscleat.core.scheduling.shard_planning import plan_shard
 from crosscleat.core.scheduling.sharding import (
     ShardInputs,
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -7,7 +7,7 @@
 
 from crosscleat.core.model.ids import AgentEpoch, Image, JobRef, MachineId, Seconds, Team
 from crosscleat.core.model.job_spec import Priority, Shape
-from crosscleat.core.scheduling.free_capacity import Assignment
+from crosscleat.core.scheduling.assignments import Assignment
 from crosscleat.core.scheduling.scoring import RunTimes
 from crosscleat.core.state.allocations import Allocation
 from crosscleat.core.state.jobs import Job
