--- a/src/crosscleat/core/state/jobs.py
+++ b/src/crosscleat/core/state/jobs.py
@@ -1,14 +1,14 @@
-"""Jobs as the leader holds them, and the records that keep jobs in the store.
+"""Jobs in the leader's memory: which tasks are done, waiting or placed, and what is recorded.
 
-`live/<ref>` holds the spec and whether its user cancelled it, `ended/<ref>` the final
-outcome. A chunk of tasks, kept in one of the leader's records (`records`), says which are
-done, and which attempt of the others may be on which machine. `format/<member>` says that this
-controller has come to the version that may write smaller chunks.
+`live/<ref>` keeps the spec and whether its user cancelled the job, `ended/<ref>` the final
+outcome (`job_records`). A job's tasks are divided into chunks, each kept in one placement record
+(`placement_records`).
 """
 
 from __future__ import annotations
 
 import heapq
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
@@ -25,16 +25,18 @@
 from ..model.job_spec import JobSpec, Shape
 from ..model.store_calls import Record
 from .gangs import GangProgress
+from .stored_placements import (
+    DEFAULT_CHUNK_LENGTH,
+    StoredAttempt,
+    TaskRange,
+)
 
-NEVER_TRIED = Attempt(0)
-
-DEFAULT_CHUNK_LENGTH = 200
-"""Tasks that are kept together where nothing says otherwise, and always before `format/`."""
+NO_ATTEMPT = Attempt(0)
 
 
 @dataclass(slots=True)
 class Placement:
-    """Where the present attempt of a task may be."""
+    """The machine and agent epoch of a task's present attempt."""
 
     attempt: Attempt
     machine: MachineId
@@ -54,31 +56,36 @@
 
 @dataclass(slots=True, eq=False)
 class Chunk:
-    """A job's `span` of consecutive tasks, kept together in one record."""
+    """Consecutive tasks of a job, kept together in one placement record."""
 
     number: int
     record_number: int | None = None
     """The number of the record that keeps it."""
     placed: dict[int, Placement] = field(default_factory=dict)
+    """Tasks with an attempt that may be on a machine."""
     attempts: dict[int, Attempt] = field(default_factory=dict)
+    """The last attempt of each task that was attempted and is not done."""
     recorded: frozenset[RecordedPlacement] = frozenset()
     """Where the stored records say that attempts may be."""
 
     def known_placements(self) -> frozenset[RecordedPlacement]:
-        """Where attempts may be as far as this process knows, recorded or not."""
+        """Where attempts may be according to this process, recorded or not."""
         return frozenset(
             RecordedPlacement(index, placed.attempt, placed.machine)
             for index, placed in self.placed.items()
         )
 
     def has_unrecorded(self) -> bool:
-        """Whether an attempt is entered that the store does not have."""
-        return any((i, p.attempt, p.machine) not in self.recorded for i, p in self.placed.items())
+        """Whether an attempt is placed that the store does not have."""
+        return any(
+            (index, placement.attempt, placement.machine) not in self.recorded
+            for index, placement in self.placed.items()
+        )
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A job and the state of its tasks, as the leader holds them."""
+    """A job and the state of its tasks in the leader's memory."""
 
     spec: JobSpec
     version: Version
@@ -88,26 +95,29 @@
     done: bytearray = field(default_factory=bytearray)
     done_count: int = 0
     first_untried: int = 0
-    """Tasks from here on have never been tried."""
+    """Tasks from this number on have never been attempted."""
     retry_queue: list[int] = field(default_factory=list)
+    """Tasks that may be attempted again now; the last one is the next."""
     delayed: list[tuple[Seconds, int]] = field(default_factory=list)
-    """Tasks that failed and wait before they are tried again."""
+    """A heap of tasks that may be attempted again at a later time."""
     failures: dict[int, int] = field(default_factory=dict)
+    """Failures of each task since it last completed."""
     failed_on: set[MachineId] = field(default_factory=set)
     succeeded: bool = False
+    """A task of it has completed in this term."""
     chunks: dict[int, Chunk] = field(default_factory=dict)
-    gang_attempt: Attempt = NEVER_TRIED
-    """The number before that of a gang's present attempt."""
+    gang_attempt: Attempt = NO_ATTEMPT
+    """The number before the one of a gang's present attempt."""
     progress: GangProgress = field(default_factory=GangProgress)
-    """Of a gang only."""
+    """Used for gangs only."""
     idle_since: Seconds = LONG_AGO
-    """When the last of its tasks left its machine; before its submission: none was on one."""
+    """When an attempt of it last ended; earlier than its submission if none has."""
     at_risk: bool = False
-    """The loss of a cheap machine may well make it late (`interruptions`)."""
+    """The loss of a spot machine is likely to make it late (`interruptions`)."""
     backfill: bool = False
-    """It only uses what others leave idle (`model.is_backfill`)."""
+    """It only uses capacity that others leave idle (`model.is_backfill`)."""
     needs_reread: bool = False
-    """Its end is being written, or its live record changed under a write of ours."""
+    """Its end is being written, or a write of ours found its live record changed."""
 
     def __post_init__(self) -> None:
         if not self.done:
@@ -119,7 +129,7 @@
         return self.spec.ref
 
     def chunk_of(self, index: int) -> Chunk:
-        """The chunk that holds the task."""
+        """The chunk that the task belongs to, created if it does not exist yet."""
         return self._chunk(index // self.chunk_length)
 
     def _chunk(self, number: int) -> Chunk:
@@ -135,14 +145,14 @@
 
     @property
     def fully_recorded(self) -> bool:
-        """Whether all of a gang's tasks may be on machines, as far as the store knows."""
+        """Whether the store has a placement of every task of the gang."""
         return self.placed_count() == self.spec.tasks and not any(
-            s.has_unrecorded() for s in self.chunks.values()
+            chunk.has_unrecorded() for chunk in self.chunks.values()
         )
 
     @property
     def ever_placed(self) -> bool:
-        """Whether any task of it is, or was, on a machine."""
+        """Whether any task of it has ever been placed."""
         return self.first_untried > 0
 
     def waiting_count(self) -> int:
@@ -156,27 +166,27 @@
 
     def placed_count(self) -> int:
         """Tasks that may be on a machine."""
-        return sum(len(s.placed) for s in self.chunks.values())
+        return sum(len(chunk.placed) for chunk in self.chunks.values())
 
     def idle_duration_s(self, now: Seconds) -> float:
         """For how long no task of it has been on a machine."""
         return 0.0 if self.placed_count() else now - max(self.submitted, self.idle_since)
 
     def resume_delayed(self, now: Seconds) -> None:
-        """Let tasks be tried again that have rested for long enough."""
+        """Move tasks whose delay has elapsed to the retry queue."""
         while self.delayed and self.delayed[0][0] <= now:
             self.retry_queue.append(heapq.heappop(self.delayed)[1])
 
     def next_task(self) -> int | None:
-        """The task to place next."""
+        """The task to place next; None if none waits."""
         if self.retry_queue:
             return self.retry_queue[-1]
         return self.first_untried if self.first_untried < self.spec.tasks else None
 
     def place(self, machine: MachineId, agent_epoch: AgentEpoch) -> tuple[TaskId, Attempt]:
-        """Take the next task and enter its new attempt, to be recorded before it is sent."""
+        """Place a new attempt of the next task: it must be recorded before a start is sent."""
         if self.is_gang and not self.placed_count():
-            self.gang_attempt = self._tried_last()
+            self.gang_attempt = self._highest_attempt()
             self.progress.begin_attempt(self.spec)
         if self.retry_queue:
             index = self.retry_queue.pop()
@@ -191,10 +201,12 @@
         chunk.placed[index] = Placement(attempt, machine, agent_epoch)
         return TaskId(self.ref, index), attempt
 
-    def _tried_last(self) -> Attempt:
+    def _highest_attempt(self) -> Attempt:
         """The highest number that an attempt of any task has had."""
-        tries = (attempt for s in self.chunks.values() for attempt in s.attempts.values())
-        return max(tries, default=NEVER_TRIED)
+        attempts = (
+            attempt for chunk in self.chunks.values() for attempt in chunk.attempts.values()
+        )
+        return max(attempts, default=NO_ATTEMPT)
 
     def is_current(self, index: int, attempt: Attempt, machine: MachineId) -> bool:
         """Whether the task's present attempt has this number and is on this machine."""
@@ -205,7 +217,7 @@
         )
 
     def finish(self, index: int) -> None:
-        """The task's current attempt completed."""
+        """The task's present attempt completed."""
         chunk = self.chunk_of(index)
         chunk.placed.pop(index, None)
         chunk.attempts.pop(index, None)
@@ -216,7 +228,10 @@
         self.succeeded = True
 
     def requeue(self, index: int, not_before: Seconds | None) -> None:
-        """The task's current attempt is proven gone without result."""
+        """The task's present attempt is proven to have ended without a result.
+
+        `not_before` delays the next attempt; None: at once.
+        """
         chunk = self.chunk_of(index)
         chunk.placed.pop(index, None)
         if not_before is None:
@@ -224,8 +239,8 @@
         else:
             heapq.heappush(self.delayed, (not_before, index))
 
-    def chunk_record(self, chunk: Chunk) -> tuple[Record, Record]:
-        """What a record keeps of the chunk: the tasks done, and the attempts of others."""
+    def encode_chunk(self, chunk: Chunk) -> Record:
+        """The stored form of the chunk, as `stored_placements.StoredChunk` describes it."""
         first = chunk.number * self.chunk_length
         last = min(first + self.chunk_length, self.spec.tasks)
         rows: list[list[int | str]] = []
@@ -235,37 +250,43 @@
                 rows.append([index, attempt])
             else:
                 rows.append([index, attempt, placement.machine, placement.agent_epoch])
-        return _ranges(self.done, first, last), rows
+        return [self.ref, chunk.number, _ranges(self.done, first, last), rows]
+
+    def load_tasks(
+        self, first: int, last: int, done: Iterable[TaskRange], attempts: Iterable[StoredAttempt]
+    ) -> list[Chunk]:
+        """Replace what is known of the tasks from `first` to before `last` by what is stored.
 
-    def load_chunk_record(self, first: int, last: int, done: Record, rows: Record) -> list[Chunk]:
-        """Take over these tasks as an earlier leader left them, in place of what was known."""
+        Returns the chunks that these tasks belong to.
+        """
         for start, end in done:
             for index in range(start, end):
                 self.done[index] = 1
         last = min(last, self.spec.tasks)
         found = [
-            self._chunk(n)
-            for n in range(first // self.chunk_length, (last - 1) // self.chunk_length + 1)
+            self._chunk(number)
+            for number in range(first // self.chunk_length, (last - 1) // self.chunk_length + 1)
         ]
         for chunk in found:
-            for index in [i for i in chunk.attempts if first <= i < last]:
+            for index in [index for index in chunk.attempts if first <= index < last]:
                 del chunk.attempts[index]
                 chunk.placed.pop(index, None)
-        for row in rows:
-            index, attempt = row[0], Attempt(row[1])
-            chunk = self.chunk_of(index)
-            chunk.attempts[index] = attempt
-            if len(row) > 2:
-                chunk.placed[index] = Placement(attempt, MachineId(row[2]), AgentEpoch(row[3]))
+        for stored in attempts:
+            chunk = self.chunk_of(stored.index)
+            chunk.attempts[stored.index] = stored.attempt
+            if stored.machine is not None:
+                chunk.placed[stored.index] = Placement(
+                    stored.attempt, stored.machine, stored.agent_epoch
+                )
         for chunk in found:
             chunk.recorded = chunk.known_placements()
         return found
 
     def finish_loading(self) -> None:
-        """All chunks are in: work out what waits."""
+        """Work out which tasks wait, after all chunks are loaded."""
         self.done_count = sum(self.done)
         if self.is_gang and self.placed_count():
-            self.gang_attempt = Attempt(self._tried_last() - 1)
+            self.gang_attempt = Attempt(self._highest_attempt() - 1)
         reached = (max(self.chunks) + 1) * self.chunk_length if self.chunks else 0
         self.first_untried = min(reached, self.spec.tasks)
         self.retry_queue = [
@@ -275,7 +296,7 @@
         ]
 
     def finish_unplaced(self) -> None:
-        """The tasks that are neither done nor placed, whatever they waited for."""
+        """Mark all tasks as done that are neither done nor placed."""
         for index in range(self.spec.tasks):
             if not self.done[index] and not self.is_placed(index):
                 self.finish(index)
@@ -294,13 +315,14 @@
         return self.done_count >= self.spec.tasks
 
     def is_over(self) -> bool:
-        """Nothing more can happen to any task of it."""
+        """Whether its end can be recorded: all tasks done, or cancelled with no task placed."""
         if self.complete:
             return True
         return self.cancelled and self.placed_count() == 0
 
 
 def _ranges(flags: bytearray, first: int, last: int) -> list[list[int]]:
+    """Ranges of set flags between `first` and before `last`, as in `TaskRange`."""
     found: list[list[int]] = []
     index = flags.find(1, first, last)
     while index >= 0:
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -21,8 +21,9 @@
 from crosscleat.core.model.store_calls import Item, Put
 from crosscleat.core.state.batch import Batch
 from crosscleat.core.state.decommission_records import DecommissionRecords
-from crosscleat.core.state.jobs import DEFAULT_CHUNK_LENGTH, Job
+from crosscleat.core.state.jobs import Job
 from crosscleat.core.state.placement_records import PlacementRecords
+from crosscleat.core.state.stored_placements import DEFAULT_CHUNK_LENGTH
 
 from .world import job
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -23,8 +23,9 @@
 from crosscleat.core.model.store_calls import Item, Read, ReadResult
 from crosscleat.core.state.decommission_records import DecommissionRecords
 from crosscleat.core.state.job_records import ended_record, live_record, spec_of
-from crosscleat.core.state.jobs import DEFAULT_CHUNK_LENGTH, Job
+from crosscleat.core.state.jobs import Job
 from crosscleat.core.state.placement_records import PlacementRecords
+from crosscleat.core.state.stored_placements import DEFAULT_CHUNK_LENGTH
 from crosscleat.wire import peers
 
 from .effects import only, only_response
