--- a/src/crosscleat/core/control/controller.py
+++ b/src/crosscleat/core/control/controller.py
@@ -15,7 +15,7 @@
 from ..model.cloud import MachineType
 from ..model.cloud_calls import ListTypes
 from ..model.deployment import Deployment
-from ..model.effects import BroadcastProgress, Delay, Effect, Outbox, ProposeShard, Response
+from ..model.effects import BroadcastProgress, Effect, Outbox, ProposeShard, Response
 from ..model.ids import LONG_AGO, Member, Seconds, Token, TypeName, WallTime
 from ..model.inputs import (
     CallCompleted,
@@ -72,14 +72,7 @@
         )
         self.leader: Leader | None = None
         self.election = Election(
-            Member(deployment.member),
-            boot,
-            self._outbox,
-            rng,
-            lambda: self._now,
-            lambda delay, continuation: self._outbox.add(Delay(delay, continuation)),
-            self._elected,
-            self._lost,
+            Member(deployment.member), boot, self._outbox, rng, lambda: self._now, self
         )
         self._handlers = self._handler_table()
 
@@ -213,7 +206,8 @@
         ):
             self.election.resign("all controllers have changed to this version", rest_s=0.0)
 
-    def _elected(self, token: Token) -> None:
+    def elected(self, token: Token) -> None:
+        """The election was won: read what earlier leaders left, then begin the term."""
         self._outbox.log("info", f"elected, token {token}")
         TakeoverRead(
             self._outbox,
@@ -247,7 +241,8 @@
         self._outbox.log("info", f"leading with {len(leader.jobs)} jobs")
         JobWatch(leader.term, leader.apply_job_changes, stored.live.revision).begin()
 
-    def _lost(self, reason: str) -> None:
+    def term_lost(self, reason: str) -> None:
+        """The term is over: answers that come for it later are dropped."""
         self._outbox.log("info", f"no longer leading: {reason}")
         if self.leader is not None:
             self.leader.term.retire()
--- a/src/crosscleat/core/election/election.py
+++ b/src/crosscleat/core/election/election.py
@@ -12,8 +12,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from random import Random
+from typing import Protocol
 
-from ..model.effects import Outbox
+from ..model.effects import Delay, Outbox
 from ..model.ids import ABSENT, LONG_AGO, LeaseId, Member, Seconds, Token, Version
 from ..model.store_calls import (
     Commit,
@@ -64,6 +65,16 @@
         return cls(Member(record["member"]), LeaseId(record["lease"]))
 
 
+class ElectionListener(Protocol):
+    """Is told when a term of ours begins and ends (`control.controller.Controller`)."""
+
+    def elected(self, token: Token) -> None:
+        """This controller leads, with this fencing token."""
+
+    def term_lost(self, reason: str) -> None:
+        """This controller no longer leads."""
+
+
 class Election:
     """Takes, keeps and gives up the leader key."""
 
@@ -74,23 +85,15 @@
         outbox: Outbox,
         rng: Random,
         clock: Callable[[], Seconds],
-        later: Callable[[float, Callable[[], None]], None],
-        elected: Callable[[Token], None],
-        lost: Callable[[str], None],
+        listener: ElectionListener,
     ) -> None:
-        """Take no part before `begin`; `boot` names this process among those of the same member.
-
-        `later` runs a continuation after a delay; `elected` is called with the token of a new
-        term; `lost` when a term ends, with the reason.
-        """
+        """Take no part before `begin`; `boot` names this process among those of the same member."""
         self._member = member
         self._boot = boot
         self._outbox = outbox
         self._rng = rng
         self._clock = clock
-        self._later = later
-        self._elected = elected
-        self._lost = lost
+        self._listener = listener
         self._lease: LeaseId | None = None
         """Our lease, while we lead or try to."""
         self._generation = 0
@@ -117,6 +120,9 @@
         generation = self._generation
         self._outbox.add(Read(LEADER, lambda found: self._leader_read(generation, found)))
 
+    def _later(self, delay_s: float, continuation: Callable[[], None]) -> None:
+        self._outbox.add(Delay(delay_s, continuation))
+
     def _begin_later(self, delay_s: float) -> None:
         generation = self._generation
         self._later(delay_s, lambda: self._begin_if_current(generation))
@@ -242,7 +248,7 @@
         self.leader = self._member
         self.contact = sent
         self._later(RENEW_S, lambda: self._renew(generation))
-        self._elected(self.token)
+        self._listener.elected(self.token)
 
     # Leading
 
@@ -298,6 +304,6 @@
         self.leader = None
         generation = self._generation
         if was_leading:
-            self._lost(reason)
+            self._listener.term_lost(reason)
         delay_s = rest_s + 0.5 * self._rng.random()
         self._later(delay_s, lambda: self._begin_if_current(generation))
--- a/tests/effects.py
+++ b/tests/effects.py
@@ -5,6 +5,7 @@
 from typing import TypeVar
 
 from crosscleat.core.model.effects import Effect, Outbox, Response
+from crosscleat.core.model.ids import Token
 
 E = TypeVar("E", bound=Effect)
 
@@ -21,3 +22,13 @@
     response = only(outbox, Response)
     assert response.body is not None
     return response
+
+
+class NoTerm:
+    """Listens to an election that the test does not hold."""
+
+    def elected(self, token: Token) -> None:
+        raise AssertionError("nobody was to be elected")
+
+    def term_lost(self, reason: str) -> None:
+        raise AssertionError("there was no term to lose")
--- a/tests/term.py
+++ b/tests/term.py
@@ -40,10 +40,7 @@
         self.now = TERM_BEGAN
         self.resignations: list[str] = []
         """The reasons for which the leader gave up its term."""
-        election = Election(
-            Member("c0"), "boot", self.outbox, Random(1), lambda: self.now,
-            lambda _delay, _continuation: None, lambda _token: None, self.resignations.append,
-        )  # fmt: skip
+        election = Election(Member("c0"), "boot", self.outbox, Random(1), lambda: self.now, self)
         election.token = Token(TOKEN)
         election.contact = TERM_BEGAN
         types = {machine_type.name: machine_type for machine_type in TYPES}
@@ -52,6 +49,12 @@
         )
         load_records(self.leader, live or [], work or [], [], TERM_BEGAN)
 
+    def elected(self, token: Token) -> None:
+        """No election is held: the term begins with the leader."""
+
+    def term_lost(self, reason: str) -> None:
+        self.resignations.append(reason)
+
     def step(self, seconds: float) -> None:
         """Time passes; the leader is in contact with the store all along."""
         self.now = self.leader.term.now = Seconds(self.now + seconds)
--- a/tests/test_encoded_jobs.py
+++ b/tests/test_encoded_jobs.py
@@ -39,7 +39,7 @@
 from crosscleat.wire import users
 from crosscleat.wire.workers import HeartbeatReply
 
-from .effects import only, only_response
+from .effects import NoTerm, only, only_response
 from .encoded import LIVE, SPEC, STORED_SPEC, SUBMISSION, pack, unpack
 from .user_requests import user_requests
 from .world import job
@@ -278,8 +278,5 @@
 
 def test_the_leader_is_looked_up_under_its_key() -> None:
     outbox = Outbox()
-    Election(
-        Member("c1"), "0123456789abcdef", outbox, Random(1), lambda: NOW,
-        lambda _delay, _continuation: None, lambda _token: None, lambda _reason: None,
-    ).begin()  # fmt: skip
+    Election(Member("c1"), "0123456789abcdef", outbox, Random(1), lambda: NOW, NoTerm()).begin()
     assert only(outbox, Read).key == "leader"
