--- a/src/crosscleat/core/model/shards.py
+++ b/src/crosscleat/core/model/shards.py
@@ -1,4 +1,4 @@
-"""What a leader sends a shard's owner to plan, and what the owner proposes."""
+"""What the leader sends a shard owner to plan, and what the owner proposes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class JobView(msgspec.Struct, array_like=True, frozen=True):
-    """What an owner needs to know of a waiting job."""
+    """What a shard owner needs to know of a waiting job."""
 
     spec: JobSpec
     age_s: float
@@ -20,7 +20,7 @@
 
 
 class MachineView(msgspec.Struct, array_like=True, frozen=True):
-    """What an owner needs to know of a machine with room."""
+    """What a shard owner needs to know of a machine with free capacity."""
 
     machine: MachineId
     type: TypeName
@@ -32,24 +32,24 @@
     images: dict[Image, float]
     """Those it has or fetches, with the seconds until they are there."""
     reservation: tuple[JobRef, Priority, float] | None
-    """Whose large tasks it is emptied for: the job, its priority and its age."""
+    """For which job it is emptied: its reference, its priority and its age in seconds."""
 
 
 class ShardView(msgspec.Struct, array_like=True, frozen=True):
-    """What an owner needs to plan its part."""
+    """What a shard owner needs to plan its shard."""
 
     number: int
     jobs: tuple[JobView, ...]
     machines: tuple[MachineView, ...]
     shares: dict[Team, tuple[float, float]]
-    """CPUs and GPUs that the part may use of each team's limit; a team left out has none."""
+    """CPUs and GPUs that the shard may use of each team's limit; a team left out has none."""
     reserve: float
     estimate_factors: dict[str, float]
     """By how much estimates are off, by class."""
 
 
 class ShardProposal(msgspec.Struct, array_like=True, frozen=True):
-    """An owner's choices for the part that it was given under this number."""
+    """A shard owner's assignments for the view with this number."""
 
     number: int
     assignments: tuple[tuple[JobRef, MachineId], ...]
--- a/src/crosscleat/core/scheduling/cycle.py
+++ b/src/crosscleat/core/scheduling/cycle.py
@@ -55,7 +55,7 @@
         if not candidates:
             return []
         if reservations is None:
-            self._reserve(feasibility, waiting)
+            reserve_machines(feasibility, waiting, self._scorer)
         else:
             for candidate in feasibility.candidates:
                 candidate.reservation = reservations.get(candidate.machine.id)
@@ -94,9 +94,10 @@
     def reservations(
         self, jobs: Iterable[Job], machines: Iterable[Machine]
     ) -> dict[MachineId, Reservation]:
-        """The machines that are emptied for large tasks and gangs, and for whose."""
+        """The machines that are emptied for large tasks and gangs, and for which job."""
         feasibility = Feasibility(self._context, machines)
-        self._reserve(feasibility, [job for job in jobs if job.next_task() is not None])
+        waiting = [job for job in jobs if job.next_task() is not None]
+        reserve_machines(feasibility, waiting, self._scorer)
         return {
             candidate.machine.id: candidate.reservation
             for candidate in feasibility.candidates
@@ -125,12 +126,6 @@
             if candidate.kept_for_on_demand
         }
 
-    def _reserve(self, feasibility: Feasibility, waiting: list[Job]) -> None:
-        now = self._context.now
-        reserve_machines(
-            feasibility.candidates, waiting, self._scorer, now, feasibility.team_admits
-        )
-
     def _pair_scorer(self, feasibility: Feasibility, jobs: Iterable[Job]) -> PairScorer:
         """Scores relative to the highest cost of any of the jobs on any type of machine."""
         machines = (candidate.machine for candidate in feasibility.candidates)
--- a/src/crosscleat/core/scheduling/reservations.py
+++ b/src/crosscleat/core/scheduling/reservations.py
@@ -8,14 +8,15 @@
 
 import heapq
 import math
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from ..model.ids import Seconds, TypeName, Zone
+from ..model.ids import TypeName, Zone
 from ..state.jobs import Job
 from ..state.machine import Machine
 from .assignments import Reservation
-from .feasibility import LARGE_SHARE
+from .feasibility import LARGE_SHARE, Feasibility
 from .free_capacity import FreeCapacity, by_zone, count_fitting
 from .scoring import Scorer
 
@@ -23,7 +24,7 @@
 """A job has machines reserved when it has waited so long."""
 
 RESERVED_SHARE = 0.3
-"""At most this part of the machines that could hold a job's tasks is reserved."""
+"""The share of the machines that could hold a job's tasks that is reserved at the most."""
 
 
 @dataclass(slots=True)
@@ -36,20 +37,22 @@
     reserved: int = 0
 
 
-def reserve_machines(
-    candidates: Iterable[FreeCapacity],
-    waiting: Iterable[Job],
-    scorer: Scorer,
-    now: Seconds,
-    team_admits: Callable[[Job], bool],
-) -> None:
+class SmallestMachine(NamedTuple):
+    """The smallest amounts that any of the machines has."""
+
+    cpus: float
+    memory_gb: float
+
+
+def reserve_machines(feasibility: Feasibility, waiting: Iterable[Job], scorer: Scorer) -> None:
     """Reserve a few machines for large tasks and gangs that have waited, the oldest job first."""
-    groups = _groups(candidates)
+    groups = _groups(feasibility.candidates)
+    now = feasibility.now
     waited = [job for job in waiting if now - job.submitted >= RESERVE_AFTER_S]
     smallest = _smallest(groups)
     found = [job for job in waited if job.is_gang or _may_be_large(job, smallest)]
     for job in sorted(found, key=lambda job: job.submitted):
-        if not team_admits(job):
+        if not feasibility.team_admits(job):
             continue
         able = [group for group in groups if _large_on(job, group.machine, scorer)]
         if job.is_gang:
@@ -97,21 +100,21 @@
     return list(groups.values())
 
 
-def _smallest(groups: list[MachineGroup]) -> tuple[float, float]:
-    """The smallest number of CPUs and the smallest memory that any of the machines has."""
+def _smallest(groups: list[MachineGroup]) -> SmallestMachine:
     types = [group.machine.type for group in groups]
-    cpus = min((machine_type.cpus for machine_type in types), default=math.inf)
-    return cpus, min((machine_type.memory_gb for machine_type in types), default=math.inf)
+    return SmallestMachine(
+        min((machine_type.cpus for machine_type in types), default=math.inf),
+        min((machine_type.memory_gb for machine_type in types), default=math.inf),
+    )
 
 
-def _may_be_large(job: Job, smallest: tuple[float, float]) -> bool:
-    """Whether it is large on a machine as small as that: most jobs are large on none."""
+def _may_be_large(job: Job, smallest: SmallestMachine) -> bool:
+    """Whether its tasks would be large on a machine of these amounts: most jobs' are on none."""
     spec = job.spec
-    cpus, memory_gb = smallest
     return (
         spec.gpus > 0.0
-        or spec.cpus >= LARGE_SHARE * cpus
-        or spec.memory_gb >= LARGE_SHARE * memory_gb
+        or spec.cpus >= LARGE_SHARE * smallest.cpus
+        or spec.memory_gb >= LARGE_SHARE * smallest.memory_gb
     )
 
 
@@ -139,8 +142,9 @@
     """How many of the job's tasks the machines would hold if they were empty."""
     types = ((group.machine.type, len(group.candidates)) for group in groups)
     return sum(
-        count * count_fitting(job.spec, machine.cpus, machine.memory_gb, machine.gpus)
-        for machine, count in types
+        count
+        * count_fitting(job.spec, machine_type.cpus, machine_type.memory_gb, machine_type.gpus)
+        for machine_type, count in types
     )
 
 
