--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -1,7 +1,7 @@
-"""Meetings of troubles, each brought about with several seeds.
+"""Combinations of faults, each with several seeds.
 
-The service is held to every rule by the world, then to its end: what was accepted is done, answered
-for, and kept waiting by nothing.
+The world checks every rule all along; then the faults end, and each accepted job must be answered
+for and done in time.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def world_of(seed: int, jobs: int = 4, estimate_s: float = 12.0, tasks: int = 3) -> World:
-    """Some seconds into a day on which that many jobs run or wait."""
+    """A world in which that many jobs run or wait for some seconds."""
     world = World(seed)
     world.clock.advance(3.0)
     for number in range(jobs):
@@ -62,7 +62,7 @@
     world.clock.advance(3.0)
     world.end_leader(0.2)
     world.duplicates = 0.6
-    # It gives up what it does not hear, and places that elsewhere, before the old reports come.
+    # It gives up silent machines and places their tasks elsewhere before the old heartbeats arrive.
     world.clock.advance(2.0 * LEASE_S)
     world.network.heal()
     world.clock.advance(5.0)
@@ -126,7 +126,7 @@
     world.store.outage(CANCEL_S + 15.0)
     world.clock.advance(CANCEL_S + 20.0)
     world.finish()
-    # Some may have been confirmed only later; none is on a machine.
+    # Some cancellations may have been confirmed later; no task is on a machine.
     assert all(running(world, f"job-{number}") == 0 for number in range(4))
 
 
@@ -135,7 +135,7 @@
 def test_requests_that_meet_the_end_of_the_last_task(seed: int, slow_s: float) -> None:
     world = world_of(seed, jobs=0)
     world.cancel_at_end = 0.6
-    # The end is written between what a cancellation has read and what it writes.
+    # The end of the job is written between the read and the write of a cancellation.
     world.slow_store_s = slow_s
     for number in range(8):
         world.users.submit(job(f"job-{number}", tasks=1 + number % 3, estimate_s=4.0))
@@ -184,7 +184,7 @@
     for number in range(4):
         world.users.submit(job(f"job-{number}", tasks=2 + number % 2, cpus=1.0, estimate_s=16.0))
     world.clock.advance(4.0)
-    # Half a task's time to one and a half: the first ends, then leaders, then the last ends.
+    # Run times vary by a factor of three: the first task ends, then leaders, then the last task.
     for _ in range(6):
         world.clock.advance(3.0)
         world.store.outage(outage_s)
@@ -328,7 +328,7 @@
     for number in range(6):
         for name in busy(world)[number % 2 :: 3]:
             if number % 2:
-                # Its session ends; it begins another, and attempts are repeated.
+                # Its agent epoch ends; it begins another, and attempts are repeated.
                 for member in MEMBERS:
                     world.network.cut(name, member, "hold")
             else:
--- a/tests/test_gang_attempts.py
+++ b/tests/test_gang_attempts.py
@@ -29,38 +29,38 @@
 
 def test_all_tasks_of_an_attempt_have_one_number() -> None:
     gang = Job(job("job-g", tasks=3, shape=Shape.GANG), Version(1), Seconds(0.0))
-    one = make_machine("m-0")
-    assert {gang.place(one.id, one.heartbeat_id.agent_epoch)[1] for _ in range(3)} == {1}
-    # A part of a second attempt was entered and void; the others never had that number.
+    machine = make_machine("m-0")
+    assert {gang.place(machine.id, machine.heartbeat_id.agent_epoch)[1] for _ in range(3)} == {1}
+    # Only one member got a second attempt, which was void; the others never had that number.
     for index in range(3):
         gang.requeue(index, None)
-    gang.place(one.id, one.heartbeat_id.agent_epoch)
+    gang.place(machine.id, machine.heartbeat_id.agent_epoch)
     gang.requeue(2, None)
-    assert {gang.place(one.id, one.heartbeat_id.agent_epoch)[1] for _ in range(3)} == {3}
+    assert {gang.place(machine.id, machine.heartbeat_id.agent_epoch)[1] for _ in range(3)} == {3}
 
 
 def test_no_start_is_sent_before_all_allocations_are_recorded() -> None:
     term = gang_term()
     gang = term.leader.jobs[JobRef("job-g")]
-    one = next(iter(term.leader.cluster.machines.values()))
-    term.leader.placer.place_gang(gang, [one, one])
-    allocations = list(one.allocations.values())
+    machine = next(iter(term.leader.cluster.machines.values()))
+    term.leader.placer.place_gang(gang, [machine, machine])
+    allocations = list(machine.allocations.values())
     assert len(allocations) == 2
     allocations[0].recorded = True
     assert not [
-        o for o in term.leader.commands.orders(one, term.now, 1) if isinstance(o, StartOrder)
+        o for o in term.leader.commands.orders(machine, term.now, 1) if isinstance(o, StartOrder)
     ]
-    record_all(gang, one)
-    assert len(start_orders(term, one)) == 2
+    record_all(gang, machine)
+    assert len(start_orders(term, machine)) == 2
 
 
 def test_a_gang_gets_no_allocation_if_one_of_its_machines_is_not_up() -> None:
     term = gang_term(tasks=3)
     gang = term.leader.jobs[JobRef("job-g")]
-    one = next(iter(term.leader.cluster.machines.values()))
+    machine = next(iter(term.leader.cluster.machines.values()))
     other = make_machine("m-9")
-    term.leader.placer.place_gang(gang, [one, one, other])
-    assert gang.placed_count() == 0 and not one.allocations, (
+    term.leader.placer.place_gang(gang, [machine, machine, other])
+    assert gang.placed_count() == 0 and not machine.allocations, (
         "the third machine is not known to be up"
     )
     assert term.leader.cluster.team_cpus.get("red", 0.0) == 0.0
@@ -69,12 +69,14 @@
 def test_all_gang_members_are_stopped_at_once_with_time_for_a_checkpoint() -> None:
     term = gang_term()
     gang = term.leader.jobs[JobRef("job-g")]
-    one = next(iter(term.leader.cluster.machines.values()))
-    term.leader.placer.place_gang(gang, [one, one])
-    for allocation in one.allocations.values():
+    machine = next(iter(term.leader.cluster.machines.values()))
+    term.leader.placer.place_gang(gang, [machine, machine])
+    for allocation in machine.allocations.values():
         allocation.recorded = allocation.start_sent = allocation.in_last_heartbeat = True
     term.leader.attempts.stop_gang(gang, 5.0)
-    stops = [o for o in term.leader.commands.orders(one, term.now, 1) if isinstance(o, StopOrder)]
+    stops = [
+        o for o in term.leader.commands.orders(machine, term.now, 1) if isinstance(o, StopOrder)
+    ]
     assert [stop.grace_s for stop in stops] == [5.0, 5.0]
     assert not any(isinstance(effect, Response) for effect in term.outbox.take())
 
@@ -82,11 +84,11 @@
 def test_a_lost_start_keeps_its_allocation_until_it_cannot_arrive_any_more() -> None:
     term = gang_term()
     gang = term.leader.jobs[JobRef("job-g")]
-    one = next(iter(term.leader.cluster.machines.values()))
-    term.leader.placer.place_gang(gang, [one, one])
-    record_all(gang, one)
+    machine = next(iter(term.leader.cluster.machines.values()))
+    term.leader.placer.place_gang(gang, [machine, machine])
+    record_all(gang, machine)
     term.outbox.take()
-    term.leader.pending.send_soon(one.id)
+    term.leader.pending.send_soon(machine.id)
     term.leader.commands.send_direct(term.now)
     (start,) = [effect for effect in term.outbox.take() if isinstance(effect, DirectCommand)]
     assert len(start.orders) == 2
@@ -95,8 +97,8 @@
     term.step(2.0)
     term.receive_heartbeat((1, 3))
     term.receive_heartbeat((1, 4))
-    assert gang.placed_count() == 2, "it may be carried out yet"
-    # Only a higher token that the worker has seen rules that out.
+    assert gang.placed_count() == 2, "the start may still arrive"
+    # Only a higher fencing token that the worker has seen rules that out.
     term.leader.term.election.token = Token(TOKEN + 5)
     term.receive_heartbeat((1, 5), token=TOKEN + 5)
     assert gang.placed_count() == 0 and gang.waiting_count() == 2
@@ -105,14 +107,11 @@
 @pytest.mark.parametrize("recorded", [1, 2])
 def test_a_new_leader_continues_a_gang_only_if_all_of_it_is_recorded(recorded: int) -> None:
     term = new_leader_with_gang(recorded)
-    one = term.leader.cluster.machines[MachineId("m-0")]
+    machine = term.leader.cluster.machines[MachineId("m-0")]
     if recorded == 1:
-        # Whether the gang waits is known once the machine is heard of; it has run, so it ends.
-        assert not any(allocation.stopping for allocation in one.allocations.values())
+        # Whether the gang waits is known from the first heartbeat; it runs, so it is stopped.
+        assert not any(allocation.stopping for allocation in machine.allocations.values())
         term.receive_heartbeat((1, 1), tasks=(task_status(0, "running"),))
     term.leader.finish_step(term.now)
-    allocations = list(one.allocations.values())
+    allocations = list(machine.allocations.values())
     assert [allocation.stopping for allocation in allocations] == [recorded == 1] * recorded
-
-
-# A waiting gang that loses a task
--- a/tests/test_gang_notices.py
+++ b/tests/test_gang_notices.py
@@ -1,4 +1,4 @@
-"""What a notice that a machine will be taken does to a gang."""
+"""What the reclaim notice of a spot machine does to a gang."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     term, gang = running_gang()
     send_reclaim_notice(term, "m-1", 4, 8.0, (task_status(1, "running"),))
     assert stopping_tasks(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
-    # A second notice, on the other machine: it is stopping already.
+    # A second notice, of the other machine: the gang is stopping already.
     send_reclaim_notice(term, "m-0", 4, 8.0, (task_status(0, "running"),))
     assert stopping_tasks(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
     assert gang.progress.stopped_at == term.now
@@ -42,7 +42,7 @@
     far.direct_paused_until = Seconds(term.now + 100.0)
     far.unresponsive_since = term.now
     send_reclaim_notice(term, "m-1", 4, 8.0, (task_status(1, "running"),))
-    assert stopping_tasks(term) == {}, "a stop that reaches one of them alone saves nothing"
+    assert stopping_tasks(term) == {}, "a stop that reaches only one member saves nothing"
     term.step(2.0)
     far.unresponsive_since, far.direct_paused_until = None, Seconds(0.0)
     term.receive_heartbeat((1, 5), tasks=(task_status(0, "running"),))
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -35,7 +35,7 @@
     half.used_cpus = 4.0
     assert {choice.job for choice in plan_cycle([gang, small], [half])} == {"job-s"}
     gang.submitted = type(gang.submitted)(gang.submitted - 10.0)
-    assert plan_cycle([gang, small], [half]) == [], "it is emptied for the gang"
+    assert plan_cycle([gang, small], [half]) == [], "the machine is reserved for the gang"
     assert {choice.job for choice in plan_cycle([gang, small], [make_machine("m-0")])} == {"job-g"}
 
 
@@ -53,14 +53,14 @@
 
 
 def test_a_gang_starts_where_the_first_need_not_wait_too_long_for_the_last() -> None:
-    """Its image takes longer than the tasks that have it would wait."""
+    """Fetching the image takes longer than the members that have it would wait."""
     changes = {"cpus": 8.0, "tasks": 2, "image_gb": 2.0 * GANG_WAIT_S, "team": Team("blue")}
     gang = make_job("job-g", shape=Shape.GANG, estimate_s=500.0, **changes)
     ready = make_machine("m-0")
     ready.images[Image("img")] = Seconds(0.0)
     assert plan_cycle([gang], [ready, make_machine("m-1")]) == []
     found = plan_cycle([gang], [ready, make_machine("m-1"), make_machine("m-2")])
-    assert {c.machine for c in found} == {"m-1", "m-2"}, "they fetch it at the same time"
+    assert {c.machine for c in found} == {"m-1", "m-2"}, "they fetch the image at the same time"
 
 
 @pytest.mark.parametrize(
@@ -81,8 +81,8 @@
         ]
     found = plan_cycle([gang], fleet)
     assert len(found) == 4
-    by_id = {one.id: one.zone for one in fleet}
-    assert {by_id[c.machine] for c in found} == zones
+    zones_by_machine = {machine.id: machine.zone for machine in fleet}
+    assert {zones_by_machine[c.machine] for c in found} == zones
 
 
 def test_a_gang_that_fits_no_zone_reserves_no_machine() -> None:
@@ -93,8 +93,8 @@
     assert len(plan_cycle([gang, small], fleet)) == 12
 
 
-def with_ordinary_reserve(jobs: list[Job], fleet: list[Machine], cpus: float) -> set[str]:
-    """The machines that a round takes, of which it leaves so many CPUs to ordinary work."""
+def machines_used_with_reserve(jobs: list[Job], fleet: list[Machine], cpus: float) -> set[str]:
+    """The machines that a cycle uses while it leaves that many on-demand CPUs free."""
     scorer = Scorer(deployment("c0"), RunTimes())
     context = CycleContext(ClusterState(), TEAMS, NOW, CycleReserves(on_demand_cpus=cpus))
     found = SchedulingCycle(context, scorer, Random(1)).plan(jobs, fleet, 100)
@@ -104,36 +104,42 @@
 def test_arrays_leave_the_on_demand_reserve_of_one_zone_free() -> None:
     fleet = [make_machine(f"m-{n}", 1, zone, spot=False) for n, zone in enumerate("aab")]
     small = make_job("job-s", tasks=12, cpus=1.0)
-    assert with_ordinary_reserve([small], fleet, 0.0) == {"m-0", "m-1"}
-    # Zone a has most of it, and one machine there is enough.
-    assert with_ordinary_reserve([small], fleet, 8.0) == {"m-1", "m-2"}
+    assert machines_used_with_reserve([small], fleet, 0.0) == {"m-0", "m-1"}
+    # Zone a has most on-demand capacity, and one machine there is enough for the reserve.
+    assert machines_used_with_reserve([small], fleet, 8.0) == {"m-1", "m-2"}
     gang = make_job("job-g", tasks=4, cpus=1.0, spot=False, shape=Shape.GANG, team=Team("blue"))
-    assert with_ordinary_reserve([gang], fleet[:1], 8.0) == {"m-0"}
-    assert with_ordinary_reserve([small], fleet[:1], 8.0) == set()
+    assert machines_used_with_reserve([gang], fleet[:1], 8.0) == {"m-0"}
+    assert machines_used_with_reserve([small], fleet[:1], 8.0) == set()
     large = make_job("job-l", tasks=1, cpus=4.0)
-    assert with_ordinary_reserve([large], fleet[:1], 8.0) == {"m-0"}, "it finds few others"
+    assert machines_used_with_reserve([large], fleet[:1], 8.0) == {"m-0"}, (
+        "few other machines fit it"
+    )
     small.submitted = Seconds(NOW - 70.0)
-    assert with_ordinary_reserve([small], fleet[:1], 8.0) == {"m-0"}, "none waits for ever"
+    assert machines_used_with_reserve([small], fleet[:1], 8.0) == {"m-0"}, "no job waits for ever"
 
 
 def test_the_on_demand_reserve_is_kept_on_small_machines_first() -> None:
     fleet = [make_machine("m-0", 1, "a", spot=False), make_machine("m-1", 0, "a", spot=False)]
     small = make_job("job-s", tasks=2, cpus=1.0)
-    assert with_ordinary_reserve([small], fleet, 4.0) == {"m-0"}
+    assert machines_used_with_reserve([small], fleet, 4.0) == {"m-0"}
 
 
-@pytest.mark.parametrize(("waited_s", "held_by_gang"), [(0.2, False), (10.0, False), (10.0, True)])
+@pytest.mark.parametrize(
+    ("waited_s", "reserved_by_gang"), [(0.2, False), (10.0, False), (10.0, True)]
+)
 def test_a_gang_that_goes_first_uses_capacity_reserved_for_arrays(
-    waited_s: float, held_by_gang: bool
+    waited_s: float, reserved_by_gang: bool
 ) -> None:
-    """Seen: one waited 60 s beside room that a job of large tasks had reserved."""
+    """A gang once waited 60 s beside capacity that a job of large tasks had reserved."""
     gang = make_job("job-g", tasks=4, cpus=1.0, shape=Shape.GANG, team=Team("blue"))
     gang.submitted = Seconds(NOW - waited_s)
-    held = Reservation(JobRef("job-l"), Priority.NORMAL, Seconds(NOW - 20.0), held_by_gang)
+    reservation = Reservation(
+        JobRef("job-l"), Priority.NORMAL, Seconds(NOW - 20.0), reserved_by_gang
+    )
     scorer = Scorer(deployment("c0"), RunTimes())
-    one = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1))
-    found = one.plan([gang], [make_machine("m-0")], 100, {MachineId("m-0"): held})
-    assert len(found) == (4 if waited_s > 1.0 and not held_by_gang else 0)
+    cycle = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1))
+    found = cycle.plan([gang], [make_machine("m-0")], 100, {MachineId("m-0"): reservation})
+    assert len(found) == (4 if waited_s > 1.0 and not reserved_by_gang else 0)
 
 
 @pytest.mark.parametrize("waited_s", [0.2, 10.0])
--- a/tests/test_gang_progress.py
+++ b/tests/test_gang_progress.py
@@ -1,4 +1,4 @@
-"""What a gang has saved, and what its runs tell of its run time."""
+"""The checkpoints of a gang, and what is learnt from its run times."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
     progress.mark_running(Seconds(100.0))
     progress.mark_stopping(Seconds(117.0))
     progress.end_attempt(spec, Seconds(121.0), saved=True)
-    assert progress.saved_s == 17.0, "it ends with the first stop"
+    assert progress.saved_s == 17.0, "the run ends with the first stop"
     progress.end_attempt(spec, Seconds(122.0), saved=True)
     progress.begin_attempt(spec)
-    assert progress.saved_s == 17.0, "the others' exits add nothing"
+    assert progress.saved_s == 17.0, "the exits of the other members add nothing"
     progress.mark_running(Seconds(130.0))
     progress.mark_stopping(Seconds(136.0))
     progress.begin_attempt(spec)
-    assert progress.saved_s == 20.0, "a checkpoint is at a multiple of the job's own progress"
+    assert progress.saved_s == 20.0, "checkpoints are at multiples of the job's own progress"
     progress.mark_running(Seconds(140.0))
     progress.mark_stopping(Seconds(145.0))
     progress.begin_attempt(spec)
@@ -47,7 +47,7 @@
 def test_a_gang_run_time_is_learnt_once_and_only_from_a_whole_run(
     attempt: int, learned: float
 ) -> None:
-    """One observation of 20 of 30 s, beside two pretended ones of 1.0."""
+    """One observed ratio of 20 s to 30 s, averaged with two assumed ratios of 1.0."""
     term, gang = gang_on_two_machines()
     checkpoints = msgspec.structs.replace(gang.spec, checkpoint_s=10.0)
     for _, allocation in list(term.leader.cluster.allocations_of(gang)):
--- a/tests/test_gang_replacement.py
+++ b/tests/test_gang_replacement.py
@@ -20,7 +20,7 @@
     term.leader.finish_step(term.now)
     assert placements(term) == {"m-0": [(0, 1)], "m-1": [], "m-2": [(1, 1)]}
     moved = next(iter(term.leader.cluster.machines[MachineId("m-2")].allocations.values()))
-    assert not moved.recorded and not gang.fully_recorded, "its new place is not on record yet"
+    assert not moved.recorded and not gang.fully_recorded, "its new allocation is not recorded yet"
     commit = next(effect for effect in term.outbox.take() if isinstance(effect, Commit))
     commit.continuation(Committed(Version(11)))
     assert moved.recorded and gang.fully_recorded
@@ -36,7 +36,7 @@
     term.step(1.0)
     term.leader.cluster.machines[MachineId("m-1")].placement_paused_until = Seconds(0.0)
     term.leader.finish_step(term.now)
-    assert gang.progress.stopped_at is not None, "there is no other, so the attempt ends"
+    assert gang.progress.stopped_at is not None, "there is no other machine, so the attempt ends"
 
 
 @pytest.mark.parametrize("state", ["running", "waiting"])
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("waited_s", [1.0, GANG_WAIT_S - 1.0])
 def test_no_replacement_comes_after_the_others_have_given_up(waited_s: float) -> None:
-    """Its image takes 3 s, and may take a third longer."""
+    """Fetching the image takes 3 s, and may take a third longer."""
     term, gang = gang_on_two_machines()
     object.__setattr__(gang, "spec", msgspec.structs.replace(gang.spec, image_gb=3.0))
     term.step(waited_s)
@@ -86,5 +86,7 @@
     term.receive_heartbeat((1, 2), machine="m-2")
     term.leader.tick(term.now)
     term.leader.finish_step(term.now)
-    assert sum(len(held) for held in placements(term).values()) == 2
-    assert {attempt for held in placements(term).values() for _, attempt in held} == {1}
+    assert sum(len(tasks_there) for tasks_there in placements(term).values()) == 2
+    assert {attempt for tasks_there in placements(term).values() for _, attempt in tasks_there} == {
+        1
+    }
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -1,7 +1,7 @@
 """Jobs whose tasks run together or not at all, in a world.
 
-It raises `a part of a gang` when a task is started before the store has the places of all, or
-beside another attempt.
+The world raises `a part of a gang` when a task starts before the store has recorded the allocations
+of all members, or beside another attempt.
 """
 
 from __future__ import annotations
@@ -72,10 +72,10 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_late_starts_of_a_former_attempt_meet_no_other_attempt(seed: int) -> None:
-    """Only what can't start any more is proven gone.
+    """Only an attempt that cannot start any more is proven ended.
 
-    Direct starts are held up for seconds; meanwhile a part of the gang is lost, and all of it is
-    placed anew elsewhere.
+    Direct starts are delayed for seconds; meanwhile a member is lost, and the whole gang is placed
+    again elsewhere.
     """
     world = world_with_gangs(seed, estimate_s=8.0, count=1)
     world.flaky = 0.6
@@ -108,7 +108,7 @@
     world = World(5)
     world.clock.advance(3.0)
     for number in range(4):
-        # Each takes over half of what the team may use.
+        # Each needs over half of the team's quota.
         world.users.submit(
             job(f"job-{number}", tasks=4, cpus=2.0, estimate_s=5.0, shape=Shape.GANG)
         )
--- a/tests/test_isolated.py
+++ b/tests/test_isolated.py
@@ -1,4 +1,4 @@
-"""A leader that still has its workers but neither store nor peers: what successors may assume."""
+"""A leader that reaches its workers but neither store nor peers: what successors may assume."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def isolate(world: World, leader: str) -> list[str]:
-    """Leave the leader with its workers alone, and the workers with it alone."""
+    """Cut the leader off from all but its workers, and the workers from all but the leader."""
     world.network.cut(leader, REGION, "hold")
     workers = [name for name, worker in world.workers.items() if not worker.dead]
     for other in MEMBERS:
@@ -35,7 +35,7 @@
 
 
 def test_a_cancellation_elsewhere_holds_on_an_isolated_leaders_machines(busy: World) -> None:
-    # Machines can't be deleted either: the leases alone must end the tasks in time.
+    # Machines cannot be deleted either: the worker leases alone must end the tasks in time.
     busy.cloud_down = True
     isolate(busy, leader_of(busy))
     busy.clock.advance(6.0)
@@ -70,7 +70,7 @@
     busy.cloud_down = True
     old = leader_of(busy)
     isolate(busy, old)
-    # Room elsewhere, so that only the proof is missing for a second start.
+    # Free capacity elsewhere, so that only the proof is missing for a second start.
     for zone in ("a", "b"):
         busy.cloud.add_machine("large", zone, False)
     busy.clock.advance(CANCEL_S - LEASE_S)
@@ -78,7 +78,7 @@
     assert busy.started == 3
     # The world raises ran_twice if a task starts again while it is on its old machine.
     busy.clock.advance(60.0)
-    assert busy.started > 3, "in the end the lost tasks start elsewhere"
+    assert busy.started > 3, "finally the lost tasks start elsewhere"
 
 
 def leader_of_others(world: World, old: str) -> bool:
@@ -86,17 +86,17 @@
 
 
 def test_a_placement_is_void_once_the_job_is_cancelled_or_the_leader_replaced() -> None:
-    held = Job(job("job-1", priority=Priority.HIGH), Version(7), Seconds(0.0))
-    held.place(MachineId("m-1"), AgentEpoch(1))
-    record = PlacementRecords(16.0, 8, True).record_for(held, held.chunk_of(0))
+    placed_job = Job(job("job-1", priority=Priority.HIGH), Version(7), Seconds(0.0))
+    placed_job.place(MachineId("m-1"), AgentEpoch(1))
+    record = PlacementRecords(16.0, 8, True).record_for(placed_job, placed_job.chunk_of(0))
     batch = Batch(41, 8)
     batch.add_record(record)
     assert batch.conditions["leader"] == 41
-    assert batch.conditions[live_key(held.ref)] == 7
+    assert batch.conditions[live_key(placed_job.ref)] == 7
     assert batch.conditions["work/1"] == 0
     done = Batch(41, 8)
-    done.end_job(held)
-    assert done.conditions == {"leader": 41, live_key(held.ref): 7}
+    done.end_job(placed_job)
+    assert done.conditions == {"leader": 41, live_key(placed_job.ref): 7}
 
 
 def token_of(world: World, member: str) -> Token:
@@ -107,9 +107,9 @@
 
 @pytest.mark.parametrize("cut", [False, True])
 def test_a_live_leader_that_its_peers_believe_dead(busy: World, cut: bool) -> None:
-    """Seen in incident inc-2b0c: a filter between controllers refused connections.
+    """As in incident inc-2b0c: a filter between controllers refused connections.
 
-    The followers ended the lease of a leader that lived, and whose workers it still reached.
+    The followers revoked the lease of a live leader that still reached its workers.
     """
     former, started = leader_of(busy), busy.started
     term = token_of(busy, former)
@@ -120,7 +120,7 @@
             busy.report_unreachable(member, former)
     busy.clock.advance(6.0)
     assert token_of(busy, leader_of(busy)) > term, "another term has begun"
-    assert busy.started == started and running(busy, "job-long") == 3, "what ran goes on"
+    assert busy.started == started and running(busy, "job-long") == 3, "running tasks continue"
     busy.users.cancel("job-long")
     busy.clock.advance(CANCEL_S + 1.0)
     assert running(busy, "job-long") == 0
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -1,4 +1,4 @@
-"""A leader by itself: what it learns and what it says."""
+"""A leader on its own: what it learns and what it decides."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def inherit() -> Leader:
-    """A leader that takes over one running task of an estimated 100 s."""
+    """A new leader whose records have one task, with an estimate of 100 s."""
     return Term(*recorded_job(agent_epoch=1, estimate_s=100.0)).leader
 
 
@@ -44,7 +44,7 @@
     leader.receive_heartbeat(1, heartbeat(1, "running"), Seconds(50.5), relayed=False)
     leader.receive_heartbeat(2, heartbeat(2, "exited", "done"), Seconds(52.0), relayed=False)
     assert leader.jobs[JobRef("job-1")].complete
-    # It ran for far longer than the 1.5 s that we saw of it.
+    # The task ran for far longer than the 1.5 s that this term saw of it.
     assert leader.run_times.estimate(spec) == 100.0
 
 
@@ -65,7 +65,7 @@
 def test_nothing_is_started_out_of_contact_with_the_store() -> None:
     term = Term(*recorded_job(agent_epoch=1))
     assert starts(term.receive_heartbeat((1, 1))) == 1
-    # It may have been cancelled since; leases are still renewed, up to their own bound.
+    # The job may have been cancelled since; leases are still renewed, up to their own bound.
     term.now = term.leader.term.now = Seconds(term.now + START_CONTACT_S + 0.5)
     assert starts(term.receive_heartbeat((1, 2))) == 0
     term.step(0.1)
@@ -74,7 +74,7 @@
 
 def test_a_start_is_sent_only_to_the_agent_epoch_of_its_placement() -> None:
     term = Term(*recorded_job(agent_epoch=1))
-    # A later session, without our token: perhaps the end of what was placed, not proven yet.
+    # A later agent epoch without the current token does not prove yet that the task ended.
     assert starts(term.receive_heartbeat((2, 1), token=TOKEN - 1)) == 0
     assert term.leader.cluster.machines[MachineId("m-0")].allocations
 
--- a/tests/test_leader_without_workers.py
+++ b/tests/test_leader_without_workers.py
@@ -1,4 +1,4 @@
-"""When a leader that workers do not reach, or that does not reach them, resigns."""
+"""When a leader resigns because it does not reach its workers, or they do not reach it."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
     ]
     term.leader.machine_list.receive(listed)
     term.leader.tick(term.now)
-    greetings = [effect for effect in term.outbox.take() if isinstance(effect, DirectCommand)]
-    assert len(greetings) == 5
-    for greeting in greetings[:4]:
-        greeting.continuation(DirectReply(None, False))
-    # A single one that hears us speaks against it.
+    requests = [effect for effect in term.outbox.take() if isinstance(effect, DirectCommand)]
+    assert len(requests) == 5
+    for request in requests[:4]:
+        request.continuation(DirectReply(None, False))
+    # A single worker that reaches the leader speaks against resigning.
     term.step(6.0)
     term.receive_heartbeat((1, 1), relayed=False)
     term.leader.tick(term.now)
     assert term.resignations == []
-    for greeting in greetings[:4]:
-        greeting.continuation(DirectReply(None, False))
+    for request in requests[:4]:
+        request.continuation(DirectReply(None, False))
     term.step(6.0)
     term.receive_heartbeat((1, 2), relayed=True)
     term.leader.tick(term.now)
@@ -40,11 +40,11 @@
     term = Term()
     types = term.leader.fleet.types
     for n in range(100):
-        one = Machine(MachineId(f"m-{n}"), types[TYPES[0].name], Zone("a"), True)
-        one.has_sent_heartbeat = True
-        one.last_heartbeat_at = one.created_at = term.now
-        term.leader.cluster.machines[one.id] = one
-    # A process that stood still for a while has not listened: that is no silence.
+        machine = Machine(MachineId(f"m-{n}"), types[TYPES[0].name], Zone("a"), True)
+        machine.has_sent_heartbeat = True
+        machine.last_heartbeat_at = machine.created_at = term.now
+        term.leader.cluster.machines[machine.id] = machine
+    # A process that was frozen has received nothing; its workers are not silent for that.
     term.step(4.0)
     term.leader.tick(term.now)
     assert term.resignations == []
@@ -57,21 +57,21 @@
 def test_a_leader_whose_responses_reach_no_worker_resigns_and_returns_no_machine() -> None:
     term = Term()
     for n in range(10):
-        one = Machine(MachineId(f"m-{n}"), TYPES[0], Zone("a"), True)
-        one.has_sent_heartbeat = True
-        one.last_heartbeat_at = one.created_at = term.now
-        one.unresponsive_since = term.now
-        term.leader.cluster.machines[one.id] = one
+        machine = Machine(MachineId(f"m-{n}"), TYPES[0], Zone("a"), True)
+        machine.has_sent_heartbeat = True
+        machine.last_heartbeat_at = machine.created_at = term.now
+        machine.unresponsive_since = term.now
+        term.leader.cluster.machines[machine.id] = machine
     term.step(2.5)
-    for one in term.leader.cluster.machines.values():
-        one.last_heartbeat_at = term.now
+    for machine in term.leader.cluster.machines.values():
+        machine.last_heartbeat_at = term.now
     term.leader.tick(term.now)
     assert term.resignations == ["no worker receives our answers"]
-    assert not any(one.decommissioning for one in term.leader.cluster.machines.values())
+    assert not any(machine.decommissioning for machine in term.leader.cluster.machines.values())
 
 
 def busy_term(machines: int) -> Term:
-    """A leader to which many machines have reported; what it sent meanwhile is forgotten."""
+    """A leader with many machines that have sent heartbeats; its effects so far are dropped."""
     term = Term()
     for number in range(machines):
         term.receive_heartbeat((1, 1), machine=f"m-{number}")
@@ -80,34 +80,34 @@
     return term
 
 
-def seconds_alone(term: Term, seconds: float, answers: bool) -> int:
-    """Time passes without check-ins; how many machines were greeted."""
-    greeted = 0
+def heartbeats_requested_in(term: Term, seconds: float, answers: bool) -> int:
+    """Time passes without heartbeats; returns how many the leader requested directly."""
+    requested = 0
     for _ in range(int(seconds / 0.1)):
         term.step(0.1)
         term.leader.tick(term.now)
         for effect in term.outbox.take():
             if isinstance(effect, DirectCommand) and effect.orders == ():
-                greeted += 1
+                requested += 1
                 if answers:
-                    report = term.heartbeat(effect.address, (1, 1 + greeted))
+                    report = term.heartbeat(effect.address, (1, 1 + requested))
                     effect.continuation(DirectReply(report, True))
-    return greeted
+    return requested
 
 
 def test_a_leader_that_workers_answer_waits_for_their_heartbeats() -> None:
-    # All were with a controller that ended; each takes up to 5 s to turn to another.
+    # All workers used a controller that ended; each takes up to 5 s to turn to another.
     term = busy_term(100)
-    assert seconds_alone(term, 4.5, answers=True) > 0
+    assert heartbeats_requested_in(term, 4.5, answers=True) > 0
     assert term.resignations == []
-    # But a leader that nobody turns to is of no use, whatever they answer.
-    seconds_alone(term, LEASE_S, answers=True)
+    # But a leader that no worker turns to is of no use, even if they answer its requests.
+    heartbeats_requested_in(term, LEASE_S, answers=True)
     assert term.resignations[:1] == ["no worker reaches us"]
 
 
 def test_a_leader_that_no_worker_answers_resigns_soon() -> None:
     term = busy_term(100)
-    seconds_alone(term, 1.5, answers=False)
+    heartbeats_requested_in(term, 1.5, answers=False)
     assert term.resignations[:1] == ["no worker reaches us"]
 
 
@@ -120,12 +120,12 @@
     ]
     term.leader.machine_list.receive(listed)
     assert not any(isinstance(effect, DirectCommand) for effect in term.outbox.take())
-    greeted = []
+    requested = []
     for _ in range(50):
         term.step(0.1)
         term.leader.tick(term.now)
         batch = [e.address for e in term.outbox.take() if isinstance(e, DirectCommand)]
         assert len(batch) <= 50
-        greeted += batch
-    assert sorted(greeted) == sorted(machine.address for machine in listed)
-    assert greeted[-1] == "m-0", "the only one that is known to hold a task"
+        requested += batch
+    assert sorted(requested) == sorted(machine.address for machine in listed)
+    assert requested[-1] == "m-0", "the only one that is known to have a task"
--- a/tests/test_outage_after_partition.py
+++ b/tests/test_outage_after_partition.py
@@ -1,7 +1,7 @@
-"""Cancelled through another controller while the store refuses the leader, then out for all.
+"""A cancellation through a follower while the store refuses the leader, then an outage for all.
 
-The leader can't learn of the cancellation, and workers go on reporting to it: only the bound on
-its renewals ends the tasks in time. The world raises `ran_cancelled` where they do not.
+The leader cannot learn of the cancellation, and workers go on sending it heartbeats: only the
+bound on its lease renewals ends the tasks in time. The world raises `ran_cancelled` otherwise.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def cancel_through_others(world: World, leader: str, ref: str) -> None:
-    """Those who are served confirm it; the leader is not asked."""
+    """The followers, which the store serves, confirm it; the leader is not asked."""
     world.serving = [member for member in MEMBERS if member != leader]
     world.users.cancel(ref)
 
@@ -80,15 +80,15 @@
         world.clock.advance(1.0)
         ends = leader if crash == "leader" else next(m for m in MEMBERS if m != leader)
         world.crash(ends, 0.2)
-    told = world.cancel_confirmed_at.get("job-long")
+    confirmed_at = world.cancel_confirmed_at.get("job-long")
     world.clock.advance(bound + edge_s + 2.0)
     if again:
-        # After a crash in an outage nobody may have been elected yet.
+        # After a crash during an outage there may be no leader yet.
         world.clock.advance(4.0)
         gap(world, until_out_s, bound + edge_s, ["job-kept"])
         world.clock.advance(bound + edge_s)
     world.clock.advance(CANCEL_S + 5.0)
-    assert told is None or running(world, "job-long") == 0
+    assert confirmed_at is None or running(world, "job-long") == 0
 
 
 @pytest.mark.parametrize("until_out_s", [0.5, 2.0])
@@ -96,7 +96,8 @@
     world = at_work(estimate_s=200.0, for_s=20.0)
     world.cloud_down = True
     gap(world, until_out_s, CANCEL_S, [])
-    # The last contact was up to a watch's time before, and a report may just have been answered.
+    # The last contact was up to the length of a watch ago, and a heartbeat may just have been
+    # answered.
     world.clock.advance(CANCEL_S - until_out_s - 1.5 - HEARTBEAT_S * 1.25 - 2.0)
     assert running(world, "job-long") == 3
 
@@ -109,12 +110,12 @@
 
 
 def test_contact_regained_by_a_renewal_alone_allows_no_more() -> None:
-    """After an outage the lease is there again at once; the cancellations are still unread."""
+    """After an outage the leader lease is valid at once; the cancellations are still unread."""
     world = at_work(estimate_s=200.0, for_s=20.0)
     world.cloud_down = True
     leader = gap(world, 1.0, 12.0, ["job-long"])
     world.store.refused_until.clear()
-    # Its watches wait on; its renewals are answered.
+    # Its watches get no reply; its lease renewals do.
     world.slow_watches.add(leader)
     world.clock.advance(CANCEL_S + 8.0)
     assert world.cancel_confirmed_at
@@ -123,9 +124,9 @@
 
 @pytest.mark.parametrize("scan", ["work/", "drop/"])
 def test_a_new_leader_misses_cancellations_confirmed_after_it_read_the_jobs(scan: str) -> None:
-    """It reads the jobs first; while it reads on, others confirm cancellations.
+    """It reads the jobs first; while it reads the other records, followers confirm cancellations.
 
-    Then the store is out before its watch has answered once.
+    Then an outage begins before its first watch gets a reply.
     """
     world = at_work(estimate_s=200.0, for_s=20.0)
     world.cloud_down = True
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -1,4 +1,4 @@
-"""Changes from one version to the other in a world, amid troubles."""
+"""Rolling upgrades from one version to the other in a world with faults."""
 
 from __future__ import annotations
 
@@ -37,19 +37,19 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-@pytest.mark.parametrize("trouble", ["none", "crashes", "outage", "late", "cut"])
-def test_controllers_change_one_after_the_other_amid_troubles(seed: int, trouble: str) -> None:
+@pytest.mark.parametrize("fault", ["none", "crashes", "outage", "late", "cut"])
+def test_controllers_change_one_after_the_other_amid_troubles(seed: int, fault: str) -> None:
     world = busy_world(seed)
-    if trouble == "late":
+    if fault == "late":
         world.late_writes = world.duplicates = 0.3
     for number, member in enumerate(MEMBERS):
-        if trouble == "crashes":
-            # Who ends before its turn comes back as the version before.
+        if fault == "crashes":
+            # A controller that crashes before its turn restarts as the old version.
             world.end_leader(0.3)
             world.clock.advance(1.0)
-        if trouble == "outage" and number == 1:
+        if fault == "outage" and number == 1:
             world.store.outage(15.0)
-        if trouble == "cut" and number == 1:
+        if fault == "cut" and number == 1:
             world.cut_zone("a", "hold")
         world.upgrade(member, 0.5)
         world.clock.advance(4.0)
@@ -57,8 +57,8 @@
             world.users.cancel("job-1")
     world.network.heal()
     world.clock.advance(1.0 + 3.0 * seed)
-    if trouble == "none":
-        # The term that saw the last of them change has given way to one that cuts chunks.
+    if fault == "none":
+        # The term during which the last controller changed gave way to one that splits chunks.
         (leader,) = [
             p.controller.leader for p in world.processes.values() if p and p.controller.leader
         ]
@@ -88,7 +88,7 @@
         world.end_leader(0.2)
         world.clock.advance(3.0)
     values = [v for key, (v, _, _) in world.store.items.items() if key.startswith("work/")]
-    assert all(set(value) == {"jobs"} for value in values), "as both read it"
+    assert all(set(value) == {"jobs"} for value in values), "the form that both versions read"
     world.finish()
 
 
@@ -98,7 +98,7 @@
     for member in MEMBERS:
         world.upgrade(member, 0.2)
         for _ in range(3):
-            # Its key is on record, or not: it comes back with this version either way.
+            # Whether or not its key is recorded, it restarts with the new version.
             world.clock.advance(0.2 + after_s)
             world.crash(member, 0.2)
         world.clock.advance(3.0)
@@ -127,7 +127,7 @@
         world.upgrade(member, 0.5)
         world.clock.advance(4.0)
     for number in range(10, 13):
-        # Users reach those that are there.
+        # Users reach the controllers that run.
         spec = job(f"job-{number}", tasks=3, estimate_s=5.0, team=Team("blue"))
         (answer,) = answers_to(world, others[number % 2], spec)
         assert answer.status == 201
@@ -139,7 +139,7 @@
     done = {task.job for task in world.results}
     assert {"job-10", "job-11", "job-12"} <= done
     assert all("span" not in value for key, (value, _, _) in world.store.items.items()
-               if key.startswith("work/")), "the missing one may come back old"  # fmt: skip
+               if key.startswith("work/")), "the missing one may restart as old"  # fmt: skip
     world.start_controller(missing)
     world.finish()
     assert "job-g12" not in world.accepted
@@ -152,7 +152,7 @@
     world.upgrade(new, 0.1)
     world.clock.advance(2.0)
     for turn in range(4):
-        # New work waits or boots, other work runs, some is cancelled, some machines fall silent.
+        # New jobs wait, others run, one is cancelled, and a machine falls silent.
         world.users.submit(job(f"job-t{turn}", tasks=4, estimate_s=8.0, team=Team("blue")))
         world.clock.advance(0.3 * turn)
         wanted = {new} if turn % 2 else set(MEMBERS) - {new}
--- a/tests/test_stale_heartbeats.py
+++ b/tests/test_stale_heartbeats.py
@@ -1,4 +1,4 @@
-"""Old copies of heartbeats, and names that begin anew: what they prove, and what not."""
+"""Old copies of heartbeats and restarted machines: what they prove, and what not."""
 
 from __future__ import annotations
 
@@ -15,15 +15,17 @@
 
 def test_a_machine_known_only_from_an_old_heartbeat_gets_no_work() -> None:
     term = Term()
-    # It may have been deleted long ago: no tombstone of ours tells.
+    # The machine may have been deleted long ago: this leader has no tombstone of it.
     term.receive_heartbeat((1, 40), token=TOKEN - 2)
     term.leader.tick(term.now)
-    asked = term.outbox.take()
-    assert any(isinstance(a, DirectCommand) and a.orders == () for a in asked), "asks it directly"
+    commands = term.outbox.take()
+    assert any(isinstance(a, DirectCommand) and a.orders == () for a in commands), (
+        "the leader requests a heartbeat directly"
+    )
     assert not term.usable
     term.step(0.5)
     term.receive_heartbeat((1, 41))
-    assert term.usable, "it has seen our token, so it lives"
+    assert term.usable, "it shows the current token, so it is alive"
 
 
 def test_an_old_heartbeat_does_not_bring_back_a_deleted_machine() -> None:
@@ -35,7 +37,7 @@
     term.leader.tick(term.now)
     (delete,) = [e for e in term.outbox.take() if isinstance(e, DeleteMachines)]
     delete.continuation(True)
-    # It was on its way when the machine was deleted, and shows our token.
+    # The heartbeat was in flight when the machine was deleted, and shows the current token.
     assert term.receive_heartbeat((1, 41)) == [Response(1, 503, None, 1)]
     assert term.leader.cluster.machines == {}
 
@@ -46,8 +48,8 @@
     term.step(3.0)
     machine = term.leader.cluster.machines[MachineId("m-0")]
     before = (machine.last_heartbeat_at, machine.last_possible_renewal, machine.heartbeat_id)
-    for seen in ((1, 40), (1, 7)):
-        assert term.receive_heartbeat(seen) == [Response(1, 503, None, 1)]
+    for heartbeat_id in ((1, 40), (1, 7)):
+        assert term.receive_heartbeat(heartbeat_id) == [Response(1, 503, None, 1)]
     assert (
         machine.last_heartbeat_at,
         machine.last_possible_renewal,
@@ -61,9 +63,9 @@
         term.receive_heartbeat((1, sequence))
         term.step(2.0)
     term.step(LEASE_S + 1.0)
-    # All at once, when the cut ends: we answer the old ones too, but nobody waits for that.
-    for seen in ((1, 6), (1, 7), (2, 8)):
-        term.receive_heartbeat(seen)
+    # All arrive when the cut ends: the old ones get responses too, but nobody waits for these.
+    for heartbeat_id in ((1, 6), (1, 7), (2, 8)):
+        term.receive_heartbeat(heartbeat_id)
     assert not term.decommissioning
 
 
@@ -72,14 +74,14 @@
     live, work = recorded_job(agent_epoch=4)
     term = Term(live, work)
     term.receive_heartbeat((agent_epoch, 1), token=TOKEN - 1)
-    assert not term.decommissioning, "it may be an old copy"
+    assert not term.decommissioning, "the heartbeat may be an old copy"
     term.step(0.5)
     term.receive_heartbeat((agent_epoch, 2))
     assert term.decommissioning == (agent_epoch == 1)
 
 
 def test_a_heartbeat_from_before_a_machine_restarted_proves_no_task_ended() -> None:
-    # It had come to session 3, lost power, and counts from 1 again; a task was placed there since.
+    # The machine reached epoch 3, lost power and restarted at 1; a task was placed there since.
     term = Term(*recorded_job(agent_epoch=1))
     term.receive_heartbeat((1, 9))
     machine = term.leader.cluster.machines[MachineId("m-0")]
@@ -92,7 +94,7 @@
     term = Term(*recorded_job(agent_epoch=1))
     term.receive_heartbeat((3, 52), token=TOKEN - 1)
     machine = term.leader.cluster.machines[MachineId("m-0")]
-    assert machine.allocations, "it may be a copy from before the machine lost power"
+    assert machine.allocations, "the heartbeat may be a copy from before the machine lost power"
     term.step(0.5)
     term.receive_heartbeat((3, 53))
     assert not machine.allocations
--- a/tests/test_task_reports.py
+++ b/tests/test_task_reports.py
@@ -1,4 +1,4 @@
-"""What a leader makes of the tasks that a heartbeat lists."""
+"""How a leader treats the tasks that a heartbeat lists."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     (start,) = [e for e in term.outbox.take() if isinstance(e, DirectCommand) and e.orders]
     task = TaskStatus(TaskId(JobRef("job-1"), 0), Attempt(1), "running", None)
     start.continuation(DirectReply(term.heartbeat("m-0", (1, 2), tasks=(task,)), True))
-    # The store has it no longer; only what may still be on its way speaks against clearing.
+    # The store does not name it any more; only a start in flight speaks against clearing it.
     ended = msgspec.structs.replace(task, state="exited", cause=cause)
     term.receive_heartbeat((1, 3), tasks=(ended,))
     for chunk in term.leader.jobs[JobRef("job-1")].chunks.values():
@@ -42,7 +42,7 @@
     (answer,) = term.receive_heartbeat((1, 4), tasks=(ended,))
     assert isinstance(answer, HeartbeatResponse)
     assert any(isinstance(order, ClearOrder) for order in answer.orders) == cleared
-    # A higher token rules the repeat out.
+    # A higher fencing token rules the repeat out.
     term.leader.term.election.token = Token(TOKEN + 5)
     (answer,) = term.receive_heartbeat((1, 5), token=TOKEN + 5, tasks=(ended,))
     assert isinstance(answer, HeartbeatResponse)
@@ -50,7 +50,7 @@
 
 
 def test_a_task_that_the_store_still_names_is_not_cleared() -> None:
-    """The next leader would send a start for it, and the worker would know nothing of it."""
+    """The next leader would send a start for it to a worker that has forgotten it."""
     term = Term(*recorded_job(agent_epoch=1))
     ended = TaskStatus(TaskId(JobRef("job-1"), 0), Attempt(1), "exited", "done")
     for sequence, named in ((1, True), (2, True), (3, False)):
@@ -67,16 +67,16 @@
     term.receive_heartbeat((1, 1))
     odd = TaskStatus(TaskId(JobRef("job-1"), 0), Attempt(1), "dreaming", None)
     ended = TaskStatus(TaskId(JobRef("job-9"), 0), Attempt(1), "exited", "eaten")
-    notes = []
+    log_texts = []
     for sequence in range(2, 6):
         effects = term.receive_heartbeat((1, sequence), tasks=(odd, ended))
-        notes += [effect.text for effect in effects if isinstance(effect, LogRecord)]
+        log_texts += [effect.text for effect in effects if isinstance(effect, LogRecord)]
         assert any(isinstance(effect, HeartbeatResponse) for effect in effects)
-    assert [log for log in notes if "unknown words" in log] == [
+    assert [text for text in log_texts if "unknown words" in text] == [
         "machine m-0 reports unknown words: 'dreaming', 'eaten'"
     ]
     machine = term.leader.cluster.machines[MachineId("m-0")]
-    assert machine.allocations, "what is in an unknown state is on its machine"
+    assert machine.allocations, "a task in an unknown state keeps its allocation"
 
 
 def test_a_task_on_a_machine_that_only_a_record_names_may_be_in_any_zone() -> None:
--- a/tests/test_unresponsive_workers.py
+++ b/tests/test_unresponsive_workers.py
@@ -1,4 +1,4 @@
-"""Machines that are heard but do not hear, and those that fall silent."""
+"""Machines that send heartbeats but receive nothing, and those that fall silent."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     name = hosts(busy)[0]
     busy.network.one_way_cuts.update((member, name) for member in MEMBERS)
     busy.clock.advance(LEASE_S + 10.0)
-    assert busy.workers[name].dead, "returned, so that it holds nothing any more"
+    assert busy.workers[name].dead, "returned, so that nothing is allocated on it any more"
     busy.clock.advance(120.0)
     busy.users.query("job-long")
     busy.clock.advance(1.0)
@@ -70,29 +70,29 @@
     leader = next(m for m, p in busy.processes.items() if p and p.controller.leader)
     name = hosts(busy)[0]
     worker = busy.workers[name]
-    # It waits for answers of two controllers in turn: longer than silence is borne with, but not
-    # yet longer than its lease.
+    # It waits for responses of two controllers in turn: longer than a silent machine is left
+    # alone, but not yet longer than its lease.
     reachable = next(m for m in MEMBERS if m != leader)
     worker.controller_index = MEMBERS.index(reachable) + 1
     for member in MEMBERS:
         if member != reachable:
             busy.network.cut(name, member, "hold")
-    held = set(worker.tasks)
+    tasks_before = set(worker.tasks)
     busy.clock.advance(8.0)
-    assert not worker.dead and held <= set(worker.tasks)
+    assert not worker.dead and tasks_before <= set(worker.tasks)
 
 
 def test_a_zone_that_is_cut_off_hides_no_dead_machine_elsewhere_and_is_not_returned() -> None:
     term = Term()
     for number in range(60):
-        one = Machine(MachineId(f"m-{number}"), TYPES[0], Zone("ab"[number % 2]), True)
-        one.has_sent_heartbeat = True
-        one.last_heartbeat_at = one.created_at = term.now
-        term.leader.cluster.machines[one.id] = one
+        machine = Machine(MachineId(f"m-{number}"), TYPES[0], Zone("ab"[number % 2]), True)
+        machine.has_sent_heartbeat = True
+        machine.last_heartbeat_at = machine.created_at = term.now
+        term.leader.cluster.machines[machine.id] = machine
     for _ in range(int(LEASE_S / 0.1)):
         term.step(0.1)
         for number in range(2, 60, 2):
             term.leader.cluster.machines[MachineId(f"m-{number}")].last_heartbeat_at = term.now
         term.leader.tick(term.now)
-    dropped = {m.id for m in term.leader.cluster.machines.values() if m.decommissioning}
-    assert dropped == {"m-0"}, "the one in zone a; all of zone b may come back"
+    decommissioned = {m.id for m in term.leader.cluster.machines.values() if m.decommissioning}
+    assert decommissioned == {"m-0"}, "the one in zone a; all of zone b may come back"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Two versions side by side: each reads what the other writes; large records are written anew."""
+"""Two versions side by side: each reads what the other writes; large records are rewritten."""
 
 from __future__ import annotations
 
@@ -53,22 +53,24 @@
     ]
 
 
-def state_of(one: Job) -> dict[int, tuple[int, str, int] | str]:
+def state_of(one_job: Job) -> dict[int, tuple[int, str, int] | str]:
     state: dict[int, tuple[int, str, int] | str] = {
-        index: "done" for index in range(one.spec.tasks) if one.done[index]
+        index: "done" for index in range(one_job.spec.tasks) if one_job.done[index]
     }
-    for chunk in one.chunks.values():
+    for chunk in one_job.chunks.values():
         for index, placed in chunk.placed.items():
             state[index] = (placed.attempt, placed.machine, placed.agent_epoch)
     return state
 
 
-def spread(records: PlacementRecords, one: Job, placed: int, done: int) -> None:
+def spread(records: PlacementRecords, one_job: Job, placed: int, done: int) -> None:
     for _ in range(placed):
-        task, _ = one.place(MachineId("m-000007"), AgentEpoch(1))
-        records.record_for(one, one.chunk_of(task.number)).mark_changed(one.spec.priority, NOW)
+        task, _ = one_job.place(MachineId("m-000007"), AgentEpoch(1))
+        records.record_for(one_job, one_job.chunk_of(task.number)).mark_changed(
+            one_job.spec.priority, NOW
+        )
     for index in range(done):
-        one.finish(index)
+        one_job.finish(index)
 
 
 def test_what_production_wrote_is_read() -> None:
@@ -80,9 +82,9 @@
     items = [Item(key, value, Version(5)) for key, value in WORK_394DFE6.items()]
     PlacementRecords(16.0, 8, True).load(items, jobs)
     wanted = read_by_394dfe6(WORK_394DFE6)
-    for ref, one in jobs.items():
-        one.finish_loading()
-        assert state_of(one) == wanted[ref]
+    for ref, one_job in jobs.items():
+        one_job.finish_loading()
+        assert state_of(one_job) == wanted[ref]
     assert jobs[SPEC.ref].chunks[0].attempts == {1: 1, 2: 1}
     decommission_records = DecommissionRecords(16.0)
     assert decommission_records.load([Item("drop/1", {"machines": ["m-000009"]}, Version(2))]) == [
@@ -98,7 +100,7 @@
 
 
 def test_the_leader_key_is_read_and_written_as_by_production() -> None:
-    """Either version follows the other's leader, and may take its key over."""
+    """Either version follows a leader of the other, and may take over its key."""
     leader_394dfe6 = {"member": "c1", "boot": "0123456789abcdef", "lease": 7}
     outbox = Outbox()
     election = Election(Member("c1"), "0123456789abcdef", outbox, Random(1), lambda: NOW, NoTerm())
@@ -138,12 +140,12 @@
     tasks: int, data: st.DataObject
 ) -> None:
     records = PlacementRecords(SMALL_KB, SMALL_OPS, cut=False)
-    one = Job(job("job-1", tasks=tasks), Version(1), NOW, records.chunk_length)
+    one_job = Job(job("job-1", tasks=tasks), Version(1), NOW, records.chunk_length)
     placed = data.draw(st.integers(0, tasks))
-    spread(records, one, placed, data.draw(st.integers(0, placed)))
+    spread(records, one_job, placed, data.draw(st.integers(0, placed)))
     items = {item.key: item.value for item in stored(records)}
     assert all(set(value) == {"jobs"} for value in items.values())
-    assert read_by_394dfe6(items).get("job-1", {}) == state_of(one)
+    assert read_by_394dfe6(items).get("job-1", {}) == state_of(one_job)
 
 
 @settings(max_examples=300)
@@ -154,15 +156,18 @@
     old = PlacementRecords(16.0, 8, cut=False)
     before = {JobRef(f"job-{n}"): Job(job(f"job-{n}", tasks=size), Version(1), NOW)
               for n, size in enumerate(sizes)}  # fmt: skip
-    for one in before.values():
-        placed = data.draw(st.integers(0, one.spec.tasks))
-        spread(old, one, placed, data.draw(st.integers(0, placed)))
+    for one_job in before.values():
+        placed = data.draw(st.integers(0, one_job.spec.tasks))
+        spread(old, one_job, placed, data.draw(st.integers(0, placed)))
     items = stored(old, version=2)
     small = PlacementRecords(SMALL_KB, SMALL_OPS, cut=True)
-    after = {ref: Job(one.spec, Version(1), NOW, small.chunk_length) for ref, one in before.items()}
+    after = {
+        ref: Job(one_job.spec, Version(1), NOW, small.chunk_length)
+        for ref, one_job in before.items()
+    }
     small.load(items, after)
     removable = small.take_rewritten()
-    # Some are written anew, then the leader ends: the next one finds both, and the later holds.
+    # Some records are rewritten, then the leader ends: the next finds both, and the later counts.
     written = data.draw(st.integers(0, len(list(small))))
     part = stored(small, version=50)[:written]
     for record in list(small)[:written]:
@@ -172,30 +177,36 @@
     kept = [item for item in items if item.key not in {key for key, _ in removable}]
     changed = data.draw(st.booleans()) and bool(part)
     if changed:
-        # What was rewritten has gone on since: a task of it is done.
+        # A task of a rewritten record is done since then.
         (job_of, chunk), *_ = next(iter(small)).entries.values()
         for index in list(chunk.placed):
             job_of.finish(index)
         part[0] = stored(small, version=50)[0]
     third = PlacementRecords(SMALL_KB, SMALL_OPS, cut=True)
-    again = {ref: Job(one.spec, Version(1), NOW, third.chunk_length) for ref, one in before.items()}
+    again = {
+        ref: Job(one_job.spec, Version(1), NOW, third.chunk_length)
+        for ref, one_job in before.items()
+    }
     third.load([*kept, *part], again)
-    for ref, one in again.items():
-        one.finish_loading()
-        assert state_of(one) == state_of(after[ref])
-        assert one.waiting_count() + one.placed_count() + one.done_count == one.spec.tasks
+    for ref, one_job in again.items():
+        one_job.finish_loading()
+        assert state_of(one_job) == state_of(after[ref])
+        assert (
+            one_job.waiting_count() + one_job.placed_count() + one_job.done_count
+            == one_job.spec.tasks
+        )
     if not changed:
-        assert {ref: state_of(one) for ref, one in after.items()} == {
-            ref: state_of(one) for ref, one in before.items()
+        assert {ref: state_of(one_job) for ref, one_job in after.items()} == {
+            ref: state_of(one_job) for ref, one_job in before.items()
         }
 
 
 def test_a_record_is_removed_only_when_all_of_it_is_rewritten() -> None:
     old = PlacementRecords(16.0, 8, cut=False)
-    one = Job(job("job-1", tasks=150), Version(1), NOW)
-    spread(old, one, 150, 0)
+    one_job = Job(job("job-1", tasks=150), Version(1), NOW)
+    spread(old, one_job, 150, 0)
     small = PlacementRecords(SMALL_KB, SMALL_OPS, cut=True)
-    jobs = {one.ref: Job(one.spec, Version(1), NOW, small.chunk_length)}
+    jobs = {one_job.ref: Job(one_job.spec, Version(1), NOW, small.chunk_length)}
     small.load(stored(old), jobs)
     records = list(small)
     assert len(records) == 4 and small.take_rewritten() == []
--- a/tests/test_upgrade_coordination.py
+++ b/tests/test_upgrade_coordination.py
@@ -1,4 +1,4 @@
-"""How a controller knows that all have changed to the new version."""
+"""How a controller knows that all controllers have the new version."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Store:
-    """Answers the upgrade's calls at once, or not at all."""
+    """Replies to the calls of an upgrade at once, or not at all."""
 
     def __init__(self) -> None:
         self.keys: set[str] = set()
@@ -68,7 +68,7 @@
     store.answers = True
     store.run()
     assert store.keys == {"format/c0"} and not first.complete
-    # It ends and begins again: its key is there already.
+    # The controller restarts: its key is stored already.
     again = store.controller("c0")
     again.begin()
     store.controller("c1").begin()
@@ -93,7 +93,7 @@
         assert any(isinstance(effect, Commit) for effect in effects)
         return
     assert not any(isinstance(effect, Commit) for effect in effects)
-    # A repeat of one that was accepted is answered; what nobody knows is told when to come back.
+    # A repeat of an accepted job is answered; for an unknown one the user is told to retry.
     (scan,) = [effect for effect in effects if isinstance(effect, Scan)]
     scan.continuation(ScanResult([], Version(1)))
     (read,) = [effect for effect in outbox.take() if isinstance(effect, Read)]
