--- a/src/crosscleat/core/capacity/unplaced_work.py
+++ b/src/crosscleat/core/capacity/unplaced_work.py
@@ -12,7 +12,8 @@
 
 from ..model.deployment import TeamLimits
 from ..model.ids import Team, Zone
-from ..scheduling.free_capacity import ROUNDING, FreeCapacity
+from ..model.quantities import ROUNDING
+from ..scheduling.free_capacity import FreeCapacity
 from ..scheduling.job_selection import fails_repeatedly
 from ..scheduling.quota import tasks_within_limit
 from ..state.jobs import Job
--- a/src/crosscleat/core/model/deployment.py
+++ b/src/crosscleat/core/model/deployment.py
@@ -1,4 +1,4 @@
-"""What the service reasons about: jobs as submitted, machine types, the deployment."""
+"""The deployment: teams and their limits, objectives, tuning options and store limits."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TeamLimits:
-    """What a team is guaranteed and may use at most."""
+    """What a team is guaranteed, and what it may use at most; a maximum of 0 means no limit."""
 
     name: Team
     cpus: float
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Objective:
-    """One of the aims in the settings."""
+    """A service-level objective from the settings."""
 
     kind: str
     job_class: str | None
@@ -30,7 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TuningOptions:
-    """What operators may tune; the defaults are the ones measured in docs/design.md."""
+    """What operators may tune; the defaults are the ones measured in docs/design.md.
+
+    The names are those of the flags and variables; `cli` describes each.
+    """
 
     weight: float = 0.5
     drop_threshold: float = 0.05
@@ -50,35 +53,43 @@
 
     member: Member
     members: tuple[Member, ...]
-    """All controllers, ours included, in the same order everywhere."""
+    """All controllers, this one included, in the same order on each of them."""
     teams: dict[Team, TeamLimits]
     objectives: tuple[Objective, ...]
     heartbeat_interval_s: float
+    """A worker's pause between heartbeats."""
     lease_s: float
+    """A worker without a response for so long ends its tasks."""
     cancel_s: float
+    """Seconds within which an accepted cancellation must have stopped the job's tasks."""
     gang_wait_s: float
+    """How long a gang's tasks wait for the last of them."""
     gang_peer_s: float
+    """Seconds within which a stop must reach all tasks of a gang if it is to save."""
     value_kb: float
+    """KiB per value: the state service's lower limit of now and later."""
     txn_ops: int
-    """What the state service allows, now and later (`state.next`)."""
+    """Writes per transaction: the state service's lower limit of now and later (`state.next`)."""
     tuning: TuningOptions = field(default_factory=TuningOptions)
 
     @property
     def silent_s(self) -> float:
-        """After so long without a heartbeat a machine is given up."""
+        """Seconds without a heartbeat after which a machine is deleted."""
         return self.tuning.silence_leases * self.lease_s
 
-    def class_limits(self, kind: str, job_class: str) -> tuple[float, ...]:
-        """The times that the aims of this kind give a class."""
+    def objective_limits(self, kind: str, job_class: str) -> tuple[float, ...]:
+        """The time limits of the objectives of this kind for a class, in seconds."""
         return tuple(
-            o.within_s
-            for o in self.objectives
-            if o.kind == kind and o.job_class == job_class and o.within_s is not None
+            objective.within_s
+            for objective in self.objectives
+            if objective.kind == kind
+            and objective.job_class == job_class
+            and objective.within_s is not None
         )
 
 
 def team_limit_admits(job: JobSpec, limits: TeamLimits) -> bool:
-    """Whether the team's limit admits what must run of the job at once."""
+    """Whether the team's limit admits the tasks that must run at once: a gang's all, else one."""
     at_once = job.tasks if job.shape is Shape.GANG else 1
     return (limits.cpus_max <= 0 or at_once * job.cpus <= limits.cpus_max) and (
         job.gpus <= 0 or limits.gpus_max <= 0 or at_once * job.gpus <= limits.gpus_max
@@ -86,11 +97,11 @@
 
 
 def has_guarantee(team: Team, teams: dict[Team, TeamLimits]) -> bool:
-    """Whether any room is guaranteed to the team; to guests there is none."""
+    """Whether the team has guaranteed CPUs or GPUs; a team that is not configured has none."""
     limits = teams.get(team)
     return limits is not None and (limits.cpus > 0 or limits.gpus > 0)
 
 
 def is_backfill(job: JobSpec, teams: dict[Team, TeamLimits]) -> bool:
-    """Whether it only uses what others leave idle: the lowest priority, without a guarantee."""
+    """Whether it only uses capacity that others leave idle: low priority and no guarantee."""
     return job.priority is Priority.LOW and not has_guarantee(job.team, teams)
--- a/src/crosscleat/core/model/heartbeats.py
+++ b/src/crosscleat/core/model/heartbeats.py
@@ -1,4 +1,4 @@
-"""A worker's report, as the core reads it."""
+"""Heartbeats of workers, and the states and causes of tasks in them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 FETCHING = "fetching"
 
 WAITING = "waiting"
-"""A gang's task that has its image and waits for the others."""
+"""The state of a gang's task that has its image and waits for the others."""
 
 SAVING = "saving"
 
@@ -28,10 +28,10 @@
 NO_CAPACITY = "no_room"
 
 GANG_MEMBER_LOST = "mates_gone"
-"""Another task of the running gang was gone."""
+"""The cause of a task's end when another task of the running gang was lost."""
 
 INCOMPLETE = "incomplete"
-"""The gang was not complete in time."""
+"""The cause of a task's end when its gang was not complete in time."""
 
 CAUSES = frozenset(
     (DONE, STOPPED, ERROR, NO_CAPACITY, "busy", "no_such", GANG_MEMBER_LOST, INCOMPLETE)
@@ -39,18 +39,20 @@
 
 
 class TaskStatus(msgspec.Struct, frozen=True):
-    """One task in a worker's report."""
+    """One attempt of a task in a worker's heartbeat."""
 
     task: TaskId
     attempt: Attempt
     state: str
+    """One of `STATES`, unless the worker is of a later version."""
     cause: str | None
+    """Why it exited: one of `CAUSES`, unless the worker is of a later version."""
     saved: bool = False
-    """It exited after its progress was saved."""
+    """It exited after it had saved its progress."""
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """A worker's report."""
+    """What a worker reports of itself and its tasks, and how new that is."""
 
     machine: MachineId
     address: str
@@ -59,12 +61,14 @@
     spot: bool
     heartbeat_id: HeartbeatId
     token: int
+    """The highest fencing token that the worker has received."""
     notice_s: float | None
+    """Seconds until the cloud reclaims the machine, if it has given notice."""
     tasks: tuple[TaskStatus, ...]
 
 
 def unknown_words(heartbeat: Heartbeat) -> set[str]:
-    """States and causes in the report that this version does not know."""
+    """States and causes in the heartbeat that this version does not know."""
     states = {task.state for task in heartbeat.tasks} - STATES
     causes = {task.cause for task in heartbeat.tasks if task.cause is not None} - CAUSES
     return states | causes
--- a/src/crosscleat/core/model/ids.py
+++ b/src/crosscleat/core/model/ids.py
@@ -23,18 +23,21 @@
 """Revision of a key's last change in the store; 0 means that the key does not exist."""
 
 Token = NewType("Token", int)
-"""Version of the leader key: the higher one is entitled to command."""
+"""Fencing token, the version of the leader key: workers obey the highest that they have seen."""
 
 Attempt = NewType("Attempt", int)
+"""Number of an attempt of a task, from 1."""
 
 AgentEpoch = NewType("AgentEpoch", int)
+"""Incarnation of a worker: it rises when its lease expires, which ends all its tasks."""
 
 LeaseId = NewType("LeaseId", int)
 
 Seconds = NewType("Seconds", float)
-"""A point on, or a length of, this process's steady clock."""
+"""Seconds of this process's steady clock: a point in time."""
 
 WallTime = NewType("WallTime", float)
+"""Seconds since 1970."""
 
 _JOB_REF = re.compile(r"job-[0-9A-Za-z._-]{1,120}\Z")
 
@@ -58,7 +61,7 @@
 
 
 class HeartbeatId(NamedTuple):
-    """Age of a worker's message: the larger one is newer."""
+    """Identity and age of a worker's status: the larger one is newer."""
 
     agent_epoch: AgentEpoch
     sequence: int
--- a/src/crosscleat/core/model/shards.py
+++ b/src/crosscleat/core/model/shards.py
@@ -13,6 +13,7 @@
 
     spec: JobSpec
     age_s: float
+    """Since the job was submitted."""
     waiting_tasks: int
     failed_on: tuple[MachineId, ...]
     zones: dict[Zone, int]
@@ -30,7 +31,7 @@
     used_gpus: float
     used_memory: float
     images: dict[Image, float]
-    """Those it has or fetches, with the seconds until they are there."""
+    """Images that it has or fetches, with the seconds until they are present."""
     reservation: tuple[JobRef, Priority, float] | None
     """For which job it is emptied: its reference, its priority and its age in seconds."""
 
@@ -45,7 +46,7 @@
     """CPUs and GPUs that the shard may use of each team's limit; a team left out has none."""
     reserve: float
     estimate_factors: dict[str, float]
-    """By how much estimates are off, by class."""
+    """Measured run time as a multiple of the estimate, by job class."""
 
 
 class ShardProposal(msgspec.Struct, array_like=True, frozen=True):
--- a/src/crosscleat/core/scheduling/free_capacity.py
+++ b/src/crosscleat/core/scheduling/free_capacity.py
@@ -9,12 +9,10 @@
 from ..model.cloud import MachineType
 from ..model.ids import Zone
 from ..model.job_spec import JobSpec
+from ..model.quantities import ROUNDING
 from ..state.machine import Machine
 from .assignments import Reservation
 
-ROUNDING = 1e-9
-"""Sums of decimal amounts may be off by so much."""
-
 UNBOUNDED_TASKS = 1e6
 """How many tasks fit anywhere if one of them needs nothing."""
 
--- a/src/crosscleat/core/scheduling/quota.py
+++ b/src/crosscleat/core/scheduling/quota.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..model.job_spec import JobSpec
-from .free_capacity import ROUNDING
+from ..model.quantities import ROUNDING
 
 
 def within_limit(amount: float, limit: float) -> bool:
--- a/src/crosscleat/core/scheduling/ranking.py
+++ b/src/crosscleat/core/scheduling/ranking.py
@@ -7,9 +7,10 @@
 from random import Random
 
 from ..model.ids import JobRef, Seconds, TypeName
+from ..model.quantities import ROUNDING
 from ..state.jobs import Job
 from .feasibility import Feasibility
-from .free_capacity import ROUNDING, FreeCapacity
+from .free_capacity import FreeCapacity
 from .job_selection import MAX_RANKED_JOBS
 from .scoring import PairScorer
 
--- a/src/crosscleat/core/scheduling/scoring.py
+++ b/src/crosscleat/core/scheduling/scoring.py
@@ -95,7 +95,7 @@
         if job.deadline_s is not None:
             return job.deadline_s
         if job.job_class not in self._completion_objectives:
-            limits = self.deployment.class_limits("finished", job.job_class)
+            limits = self.deployment.objective_limits("finished", job.job_class)
             self._completion_objectives[job.job_class] = min(limits, default=None)
         limit = self._completion_objectives[job.job_class]
         if limit is not None:
@@ -106,7 +106,7 @@
         """Seconds after submission by which its objectives want it done, the first one first."""
         if job.deadline_s is not None:
             return [job.deadline_s]
-        return sorted(self.deployment.class_limits("finished", job.job_class))
+        return sorted(self.deployment.objective_limits("finished", job.job_class))
 
     def utility(self, job: JobSpec, start_age: float, completion_age: float) -> float:
         """Falls with both ages: slowly until the completion target, then quickly.
@@ -126,7 +126,7 @@
     def _start_limits(self, job_class: str) -> tuple[float, ...]:
         limits = self._start_objectives.get(job_class)
         if limits is None:
-            limits = self.deployment.class_limits("wait", job_class)
+            limits = self.deployment.objective_limits("wait", job_class)
             self._start_objectives[job_class] = limits
         return limits
 
--- a/src/crosscleat/core/state/job_records.py
+++ b/src/crosscleat/core/state/job_records.py
@@ -4,9 +4,7 @@
 
 import msgspec
 
-from ..model.ids import (
-    WallTime,
-)
+from ..model.ids import WallTime
 from ..model.job_spec import JobSpec
 from ..model.store_calls import Record
 
--- a/src/crosscleat/core/state/keys.py
+++ b/src/crosscleat/core/state/keys.py
@@ -2,15 +2,16 @@
 
 from __future__ import annotations
 
-from ..model.ids import (
-    JobRef,
-)
+from ..model.ids import JobRef
 
 LIVE = "live/"
+"""Prefix of the records of jobs that are not over."""
 
 ENDED = "ended/"
+"""Prefix of the records of jobs' outcomes, which are kept for good."""
 
 FORMAT = "format/"
+"""Prefix of the keys by which each controller shows that it reads shortened chunks."""
 
 
 def live_key(ref: JobRef) -> str:
@@ -24,7 +25,10 @@
 
 
 PLACEMENTS = "work/"
+"""Prefix of placement records."""
 
 DECOMMISSIONED = "drop/"
+"""Prefix of the records of machines whose deletion is decided."""
 
 LEADER = "leader"
+"""Key of the leader; its version is the fencing token."""
--- a/src/crosscleat/core/state/machine.py
+++ b/src/crosscleat/core/state/machine.py
@@ -18,6 +18,7 @@
     Zone,
 )
 from ..model.job_spec import JobSpec
+from ..model.quantities import ROUNDING
 from .allocations import Allocation, AttemptKey
 
 NEVER_ANSWERED = Seconds(-math.inf)
@@ -141,9 +142,9 @@
     def fits(self, job: JobSpec) -> bool:
         """Whether one task of the job fits beside all allocations, running or not."""
         return (
-            self.used_cpus + job.cpus <= self.type.cpus + 1e-9
-            and self.used_memory + job.memory_gb <= self.type.memory_gb + 1e-9
-            and self.used_gpus + job.gpus <= self.type.gpus + 1e-9
+            self.used_cpus + job.cpus <= self.type.cpus + ROUNDING
+            and self.used_memory + job.memory_gb <= self.type.memory_gb + ROUNDING
+            and self.used_gpus + job.gpus <= self.type.gpus + ROUNDING
         )
 
     def use_image(self, image: str, size_gb: float, ready: Seconds) -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -72,8 +72,8 @@
     raw["settings"]["workers"]["unknown"] = 3
     found = parse(raw, "file").deployment(TuningOptions())
     assert found.cancel_s == 44.0
-    assert found.class_limits("wait", "a") == (2.0, 12.0)
-    assert found.class_limits("finished", "a") == ()
+    assert found.objective_limits("wait", "a") == (2.0, 12.0)
+    assert found.objective_limits("finished", "a") == ()
 
 
 @given(
