--- a/tests/test_rounds.py
+++ b/tests/test_cycle.py
@@ -1,4 +1,4 @@
-"""Rounds and what they rest on."""
+"""Scheduling cycles and what they depend on."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 )
 fleets = st.lists(
     st.tuples(st.integers(0, 1), st.sampled_from(("a", "b")), st.booleans()), max_size=6
-).map(lambda kinds: [make_machine(f"m-{n}", *kind) for n, kind in enumerate(kinds)])
+).map(lambda drawn: [make_machine(f"m-{n}", *traits) for n, traits in enumerate(drawn)])
 
 
 @given(st.lists(jobs, max_size=6, unique_by=lambda j: j.ref), fleets)
@@ -71,8 +71,8 @@
     assert plan_cycle([normal, urgent], [make_machine("m-0")]) == [
         Assignment(JobRef("job-u"), MachineId("m-0"))
     ]
-    is_expensive, cheap = make_machine("m-0", spot=False), make_machine("m-1")
-    assert [c.machine for c in plan_cycle([make_job("job-1", tasks=1)], [is_expensive, cheap])] == [
+    on_demand, spot = make_machine("m-0", spot=False), make_machine("m-1")
+    assert [c.machine for c in plan_cycle([make_job("job-1", tasks=1)], [on_demand, spot])] == [
         "m-1"
     ]
     ready, bare = make_machine("m-0"), make_machine("m-1")
@@ -166,9 +166,9 @@
 
 def test_the_last_of_a_teams_quota_is_for_its_urgent_work() -> None:
     fleet = [make_machine(f"m-{n}") for n in range(8)]
-    for priority, most in ((Priority.NORMAL, 13), (Priority.HIGH, 14)):
+    for priority, count in ((Priority.NORMAL, 13), (Priority.HIGH, 14)):
         many = make_job("job-1", tasks=40, cpus=1.0, memory_gb=0.1, priority=priority)
-        assert len(plan_cycle([many], fleet, reserve=1.0)) == most, "red may use 14 CPUs"
+        assert len(plan_cycle([many], fleet, reserve=1.0)) == count, "red may use 14 CPUs"
     alone = make_job("job-1", tasks=1, cpus=8.0, team=Team("red"))
     assert len(plan_cycle([alone], fleet, reserve=20.0)) == 1, (
         "but none is kept from starting at all"
@@ -208,8 +208,8 @@
         small.submitted = Seconds(NOW - 59.0)
         assert plan_cycle([*others, small], fleet, reserve=reserve) == []
         small.submitted = Seconds(NOW - 61.0)
-        (choice,) = plan_cycle([*others, small], fleet, reserve=reserve)
-        assert choice == Assignment(small.ref, kept.id), "one task of it"
+        (assignment,) = plan_cycle([*others, small], fleet, reserve=reserve)
+        assert assignment == Assignment(small.ref, kept.id), "one task of it"
         # It counts from when the last of its tasks left its machine.
         small.idle_since = Seconds(NOW - 30.0)
         assert plan_cycle([*others, small], fleet, reserve=reserve) == []
--- a/tests/test_partitioning.py
+++ b/tests/test_sharding.py
@@ -1,4 +1,4 @@
-"""The partitioning of work: owners plan their part, the leader checks and commits."""
+"""Sharding: shard owners plan their shards, the leader checks and commits."""
 
 from __future__ import annotations
 
@@ -74,20 +74,20 @@
     machines = [Machine(MachineId(f"m-{n}"), TYPES[1], Zone("a"), True) for n in range(len(used))]
     for machine, cpus_used in zip(machines, used, strict=True):
         machine.used_cpus = cpus_used
-    parts: dict[Member, list[Job]] = {}
+    shards: dict[Member, list[Job]] = {}
     for one in jobs:
-        parts.setdefault(shard_owner(one.ref, OWNERS), []).append(one)
-    shares = quota_shares(parts, TEAMS, cluster)
+        shards.setdefault(shard_owner(one.ref, OWNERS), []).append(one)
+    shares = quota_shares(shards, TEAMS, cluster)
     taken = {"red": red, "blue": 0.0}
-    for member, mine in parts.items():
+    for member, shard_jobs in shards.items():
         inputs = ShardInputs(machines, {}, 0.0, {}, NOW)
-        view = build_shard_view(4, mine, shares[member], inputs, cluster, Random(1))
-        told = msgspec.msgpack.decode(msgspec.msgpack.encode(view), type=ShardView)
+        view = build_shard_view(4, shard_jobs, shares[member], inputs, cluster, Random(1))
+        decoded = msgspec.msgpack.decode(msgspec.msgpack.encode(view), type=ShardView)
         proposal = plan_shard(
-            told, deployment(member), {t.name: t for t in TYPES}, Random(1), Seconds(7.0)
+            decoded, deployment(member), {t.name: t for t in TYPES}, Random(1), Seconds(7.0)
         )
         assert proposal.number == 4
-        by_ref = {one.ref: one.spec for one in mine}
+        by_ref = {one.ref: one.spec for one in shard_jobs}
         for machine in machines:
             here = [by_ref[ref] for ref, name in proposal.assignments if name == machine.id]
             assert machine.used_cpus + sum(spec.cpus for spec in here) <= 8.0 + 1e-6
@@ -102,24 +102,24 @@
     leader = term.leader
     term.receive_heartbeat((1, 1))
     leader.tick(term.now)
-    (part,) = [effect for effect in term.outbox.take() if isinstance(effect, ShardRequest)]
-    assert part.member == "c1" and len(part.view.jobs) == 2
+    (request,) = [effect for effect in term.outbox.take() if isinstance(effect, ShardRequest)]
+    assert request.member == "c1" and len(request.view.jobs) == 2
     # It has not proposed before, so nobody waits for it.
     leader.finish_step(term.now)
     assert [one.placed_count() for one in leader.jobs.values()] == [1, 1]
     # Once it has been in time it is waited for, though not for long.
-    leader.scheduler.commit_proposal(Member("c1"), ShardProposal(part.view.number, ()), term.now)
-    fresh, late = refs_of("c1", 4)[2:]
-    leader.apply_job_changes([live(fresh)], term.now)
+    leader.scheduler.commit_proposal(Member("c1"), ShardProposal(request.view.number, ()), term.now)
+    new, late = refs_of("c1", 4)[2:]
+    leader.apply_job_changes([live(new)], term.now)
     term.step(5.1)
     term.receive_heartbeat((1, 2))
     leader.tick(term.now)
     leader.finish_step(term.now)
-    assert leader.jobs[JobRef(fresh)].placed_count() == 0
+    assert leader.jobs[JobRef(new)].placed_count() == 0
     term.step(0.5)
     leader.apply_job_changes([live(late)], term.now)
     leader.finish_step(term.now)
-    assert leader.jobs[JobRef(fresh)].placed_count() == 1
+    assert leader.jobs[JobRef(new)].placed_count() == 1
     assert leader.jobs[JobRef(late)].placed_count() == 1
 
 
