--- a/src/crosscleat/core/model/worker_calls.py
+++ b/src/crosscleat/core/model/worker_calls.py
@@ -26,7 +26,7 @@
 
 
 class ClearOrder(msgspec.Struct, frozen=True):
-    """Remove an exited attempt from the worker's reports."""
+    """Remove an exited attempt from the worker's heartbeats."""
 
     task: str
     attempt: int
