--- a/src/crosscleat/core/control/commands.py
+++ b/src/crosscleat/core/control/commands.py
@@ -2,7 +2,7 @@
 
 An answer to a heartbeat is executed before the worker's next heartbeat, or never. A direct command
 may be executed late, or twice; only a higher fencing token rules that out, so the machine keeps the
-token of each direct start (`Machine.pending_start_token`, `Machine.direct_starts`).
+token of each direct start (`DirectChannel.pending_start_token` and `starts`).
 """
 
 from __future__ import annotations
@@ -98,7 +98,7 @@
                     orders.append(
                         StopOrder(str(allocation.task), allocation.attempt, allocation.grace_s)
                     )
-                elif machine.shown_token <= machine.pending_start_token:
+                elif machine.shown_token <= machine.direct.pending_start_token:
                     self._want_rotation(machine)
             elif may_start and self._is_startable(machine, allocation):
                 orders.append(StartOrder(str(allocation.task), allocation.attempt))
@@ -139,13 +139,13 @@
         A late start would then start it again. So no start may still arrive, and the store must
         not name the attempt any more, or the next leader would send a start.
         """
-        if machine.direct_in_flight:
+        if machine.direct.in_flight:
             return False
         # A direct start may come twice even if it was answered. A result is kept, so a task that
         # is done can be started again without harm.
         harmless = machine.exited[key] == heartbeats.DONE
-        repeated = NO_TOKEN if harmless else machine.direct_starts.get(key, NO_TOKEN)
-        if machine.shown_token <= max(machine.pending_start_token, repeated):
+        repeated = NO_TOKEN if harmless else machine.direct.starts.get(key, NO_TOKEN)
+        if machine.shown_token <= max(machine.direct.pending_start_token, repeated):
             self._want_rotation(machine)
             return False
         task, attempt = key
@@ -172,10 +172,10 @@
             machine = self._cluster.machines.get(machine_id)
             if machine is None or not self._takes_direct_commands(machine):
                 continue
-            if machine.direct_in_flight:
+            if machine.direct.in_flight:
                 pending.direct_targets.add(machine_id)
                 continue
-            if now < machine.direct_paused_until:
+            if now < machine.direct.paused_until:
                 continue
             # Clearing can wait for the next heartbeat.
             orders = tuple(
@@ -212,7 +212,7 @@
 
     def request_heartbeat(self, machine: Machine) -> None:
         """Send no orders: this shows the worker our token, and its answer shows us its status."""
-        if not machine.direct_in_flight:
+        if not machine.direct.in_flight:
             self._send(machine, self._agent_epoch_of(machine), ())
 
     def probe(self, machine: Machine) -> None:
@@ -233,31 +233,31 @@
         token = self._term.election.token
         if token is None or machine.address is None:
             return
-        machine.direct_in_flight = True
+        machine.direct.in_flight = True
         starts = [order for order in orders if isinstance(order, StartOrder)]
         for order in starts:
             task = TaskId.parse(order.task)
             if task is not None:
-                machine.direct_starts[task, Attempt(order.attempt)] = token
+                machine.direct.starts[task, Attempt(order.attempt)] = token
         # Orders other than starts do no harm when they are executed late.
         done = self._when_done(machine, token if starts else NO_TOKEN)
         self._term.outbox.add(DirectCommand(machine.address, token, agent_epoch, orders, done))
 
     def _when_done(self, machine: Machine, risked: Token) -> Callable[[DirectReply], None]:
         def done(reply: DirectReply) -> None:
-            machine.direct_in_flight = False
+            direct = machine.direct
+            direct.in_flight = False
             if self._term.retired:
                 return
             if reply.heartbeat is None:
-                machine.direct_failures += 1
-                pause = DIRECT_PAUSE_S * 2.0**machine.direct_failures
-                pause = min(MAX_DIRECT_PAUSE_S, pause)
-                machine.direct_paused_until = Seconds(self._term.now + pause)
+                direct.failures += 1
+                pause = min(MAX_DIRECT_PAUSE_S, DIRECT_PAUSE_S * 2.0**direct.failures)
+                direct.paused_until = Seconds(self._term.now + pause)
                 self._replies.reply_missed(machine)
                 if reply.may_execute:
-                    machine.pending_start_token = max(machine.pending_start_token, risked)
+                    direct.pending_start_token = max(direct.pending_start_token, risked)
                 return
-            machine.direct_failures = 0
+            direct.failures = 0
             self._replies.reply_received(machine, reply.heartbeat)
 
         return done
--- a/src/crosscleat/core/state/gangs.py
+++ b/src/crosscleat/core/state/gangs.py
@@ -143,7 +143,7 @@
 
 def start_delay_s(machine: Machine, deployment: Deployment, now: Seconds) -> float:
     """How long a start takes to reach the machine: none, or until its next heartbeat."""
-    reachable = machine.address is not None and machine.direct_paused_until <= now
+    reachable = machine.address is not None and machine.direct.paused_until <= now
     return 0.0 if reachable else HEARTBEAT_JITTER * deployment.heartbeat_interval_s
 
 
--- a/src/crosscleat/core/state/machine.py
+++ b/src/crosscleat/core/state/machine.py
@@ -13,13 +13,13 @@
     HeartbeatId,
     MachineId,
     Seconds,
-    Token,
     TypeName,
     Zone,
 )
 from ..model.job_spec import JobSpec
 from ..model.quantities import ROUNDING
 from .allocations import Allocation, AttemptKey
+from .direct_channel import DirectChannel
 
 NEVER_ANSWERED = Seconds(-math.inf)
 
@@ -50,10 +50,7 @@
     """Sequence of the newest heartbeat; replies to direct commands change `heartbeat_id` alone."""
     shown_token: int = 0
     """The highest fencing token that its heartbeats have shown."""
-    pending_start_token: int = 0
-    """A direct start sent with this token or a lower one may still be executed."""
-    direct_in_flight: bool = False
-    """A direct command was sent, and its outcome is not known yet."""
+    direct: DirectChannel = field(default_factory=DirectChannel)
     last_heartbeat_at: Seconds = LONG_AGO
     last_response_at: Seconds = NEVER_ANSWERED
     """When we last responded to a heartbeat of it."""
@@ -90,8 +87,6 @@
     used_cpus: float = 0.0
     used_gpus: float = 0.0
     used_memory: float = 0.0
-    direct_starts: dict[AttemptKey, Token] = field(default_factory=dict)
-    """Attempts of this agent epoch whose start was sent directly, and with which token."""
     orphans: set[AttemptKey] = field(default_factory=set)
     """Attempts that its newest heartbeat lists and no record has: they are stopped."""
     confirmed_in_term: bool = False
@@ -101,10 +96,6 @@
     """Since when its heartbeats have shown that it does not act on our responses."""
     probed_at: Seconds = LONG_AGO
     """When another controller was last asked to reach it."""
-    direct_failures: int = 0
-    """Direct commands that failed since the last one that succeeded."""
-    direct_paused_until: Seconds = LONG_AGO
-    """A direct command failed: until then it gets commands in responses to its heartbeats alone."""
 
     @property
     def booted(self) -> bool:
@@ -120,19 +111,14 @@
         """Its lease expired: what it did and received in the epoch before is void."""
         self.exited.clear()
         self.orphans.clear()
-        self.direct_starts.clear()
+        self.direct.starts.clear()
 
     def update_task_list(self, listed: dict[AttemptKey, TaskStatus]) -> None:
         """Note the exited attempts of the newest heartbeat, and those that no record has."""
         self.exited = {
             key: task.cause or "" for key, task in listed.items() if task.state == EXITED
         }
-        if len(self.direct_starts) > 2 * len(listed) + 20:
-            self.direct_starts = {
-                key: token
-                for key, token in self.direct_starts.items()
-                if key in listed or key in self.allocations
-            }
+        self.direct.drop_starts(listed, self.allocations)
         self.orphans = {
             key
             for key, task in listed.items()
@@ -177,6 +163,6 @@
         """
         if not allocation.start_sent:
             return False
-        if self.direct_in_flight or self.shown_token <= self.pending_start_token:
+        if self.direct.in_flight or self.shown_token <= self.direct.pending_start_token:
             return True
         return self.heartbeat_sequence <= allocation.start_sent_at_sequence
--- a/tests/test_cycle.py
+++ b/tests/test_cycle.py
@@ -108,13 +108,13 @@
         start_sent=True,
         start_sent_at_sequence=5,
     )
-    one.shown_token, one.pending_start_token, one.heartbeat_sequence = 7, 6, 6
+    one.shown_token, one.direct.pending_start_token, one.heartbeat_sequence = 7, 6, 6
     assert not one.may_still_start(allocation)
     one.heartbeat_sequence = 5
     assert one.may_still_start(allocation), "the answer with the start may be under way"
-    one.heartbeat_sequence, one.pending_start_token = 6, 7
+    one.heartbeat_sequence, one.direct.pending_start_token = 6, 7
     assert one.may_still_start(allocation), "a direct start was lost under the present token"
-    one.pending_start_token, one.direct_in_flight = 6, True
+    one.direct.pending_start_token, one.direct.in_flight = 6, True
     assert one.may_still_start(allocation)
     allocation.start_sent = False
     assert not one.may_still_start(allocation)
--- a/tests/test_gang_notices.py
+++ b/tests/test_gang_notices.py
@@ -39,12 +39,12 @@
 def test_a_gang_stop_waits_for_an_unreachable_machine_while_the_reclaim_notice_lasts() -> None:
     term, _ = running_gang()
     far = term.leader.cluster.machines[MachineId("m-0")]
-    far.direct_paused_until = Seconds(term.now + 100.0)
+    far.direct.paused_until = Seconds(term.now + 100.0)
     far.unresponsive_since = term.now
     send_reclaim_notice(term, "m-1", 4, 8.0, (task_status(1, "running"),))
     assert stopping_tasks(term) == {}, "a stop that reaches only one member saves nothing"
     term.step(2.0)
-    far.unresponsive_since, far.direct_paused_until = None, Seconds(0.0)
+    far.unresponsive_since, far.direct.paused_until = None, Seconds(0.0)
     term.receive_heartbeat((1, 5), tasks=(task_status(0, "running"),))
     term.leader.watch_machines(term.now)
     assert stopping_tasks(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
@@ -53,7 +53,7 @@
 def test_at_the_last_useful_moment_of_a_reclaim_notice_the_gang_ends_unsaved() -> None:
     term, _ = running_gang()
     far = term.leader.cluster.machines[MachineId("m-0")]
-    far.direct_paused_until, far.unresponsive_since = Seconds(term.now + 100.0), term.now
+    far.direct.paused_until, far.unresponsive_since = Seconds(term.now + 100.0), term.now
     send_reclaim_notice(term, "m-1", 4, 8.0, (task_status(1, "running"),))
     term.step(5.5)
     term.receive_heartbeat((1, 5), machine="m-1", tasks=(task_status(1, "running"),))
