--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -116,14 +116,16 @@
 @pytest.mark.parametrize(("word", "known"), STATES)
 def test_each_state_of_a_task_is_known(word: str, known: str) -> None:
     heartbeat = report_of(word, None)
-    assert heartbeat.tasks[0].state == known and not heartbeats.unknown_words(heartbeat)
+    assert heartbeat.tasks[0].state == known
+    assert not heartbeats.unknown_words(heartbeat)
     assert len(workers.STATES) == len(heartbeats.STATES) == 5
 
 
 @pytest.mark.parametrize(("word", "known"), CAUSES)
 def test_each_cause_of_an_exit_is_known(word: str, known: str) -> None:
     heartbeat = report_of("exited", word)
-    assert heartbeat.tasks[0].cause == known and not heartbeats.unknown_words(heartbeat)
+    assert heartbeat.tasks[0].cause == known
+    assert not heartbeats.unknown_words(heartbeat)
     assert len(heartbeats.CAUSES) == 8
 
 
@@ -196,10 +198,12 @@
 
 def test_the_machine_list_is_read() -> None:
     page = cloud.decode_machine_page(pack({"boxes": [BOX], "more": True}))
-    assert page.machines == [LISTED] and page.more
+    assert page.machines == [LISTED]
+    assert page.more
     bare = {name: BOX[name] for name in BOX if name not in ("addr", "age_s")}
     page = cloud.decode_machine_page(pack({"boxes": [bare]}))
-    assert page.machines[0] == REPLACE(LISTED, address="", age_s=0.0) and not page.more
+    assert page.machines[0] == REPLACE(LISTED, address="", age_s=0.0)
+    assert not page.more
 
 
 def test_a_rental_is_written_and_its_answer_read() -> None:
--- a/tests/test_encoded_jobs.py
+++ b/tests/test_encoded_jobs.py
@@ -105,13 +105,15 @@
 
 @pytest.mark.parametrize(("word", "number", "priority"), URGENCIES)
 def test_each_urgency_has_its_number(word: str, number: int, priority: Priority) -> None:
-    assert priority.value == number and len(Priority) == 4
+    assert priority.value == number
+    assert len(Priority) == 4
     assert_read_and_stored({"urgency": word}, 3, number, REPLACE(SPEC, priority=priority))
 
 
 @pytest.mark.parametrize(("word", "number", "shape"), SHAPES)
 def test_each_shape_has_its_number(word: str, number: int, shape: Shape) -> None:
-    assert shape.value == number and len(Shape) == 3
+    assert shape.value == number
+    assert len(Shape) == 3
     assert_read_and_stored({"shape": word}, 19, number, REPLACE(SPEC, shape=shape))
 
 
@@ -178,7 +180,8 @@
     commit = only(outbox, Commit)
     assert commit.conditions == (("live/job-000412", 7),)
     (write,) = commit.writes
-    assert isinstance(write, Put) and write.key == "live/job-000412"
+    assert isinstance(write, Put)
+    assert write.key == "live/job-000412"
     assert unpack(pack(write.value)) == {**LIVE, "aborted": True}
     commit.continuation(Committed(Version(9)))
     assert only_response(outbox).body == {"ref": "job-000412", "status": "aborted"}
--- a/tests/test_encoded_settings.py
+++ b/tests/test_encoded_settings.py
@@ -264,4 +264,5 @@
     assert service["build"] == "python3 deploy/build.py"
     assert service["run"] == "python3 run.py --config"
     assert re.fullmatch(r"[0-9a-f]{40}", service["production"])
-    assert (ROOT / "deploy" / "build.py").is_file() and (ROOT / "run.py").is_file()
+    assert (ROOT / "deploy" / "build.py").is_file()
+    assert (ROOT / "run.py").is_file()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -21,7 +21,8 @@
 def test_one_rental_holds_all_waiting_tasks_when_free_capacity_is_scarce() -> None:
     jobs = [job_waiting_for(0.5, tasks=4, cpus=1.0) for _ in range(5)]
     found = next_request(make_fleet(), jobs)
-    assert found is not None and found.pool.spot
+    assert found is not None
+    assert found.pool.spot
     size = next(kind.cpus for kind in TYPES if kind.name == found.pool.type)
     assert found.count * size >= 20
 
@@ -42,9 +43,11 @@
     assert next_request(made, [job_waiting_for(10.0)], busy) is not None
     assert next_request(made, [job_waiting_for(TARGET_S - 2.0)], busy) is None
     served = next_request(made, [job_waiting_for(120.0)], busy)
-    assert served is not None and served.overdue, "all work starts in the end, at any price"
+    assert served is not None
+    assert served.overdue, "all work starts in the end, at any price"
     on_demand = next_request(made, [job_waiting_for(TARGET_S - 2.0, spot=False)], busy)
-    assert on_demand is not None and not on_demand.pool.spot, "it has no spot ones to wait for"
+    assert on_demand is not None
+    assert not on_demand.pool.spot, "it has no spot ones to wait for"
 
 
 def test_tasks_count_on_capacity_that_is_free_or_boots() -> None:
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -166,7 +166,8 @@
     work = {**SMALLEST, "shape": shape}
     assert users.parse_submission(pack(work)) == "job-1"
     ensemble = users.parse_submission(pack({**SMALLEST, "shape": "ensemble"}))
-    assert isinstance(ensemble, JobSpec) and ensemble.shape is Shape.GANG
+    assert isinstance(ensemble, JobSpec)
+    assert ensemble.shape is Shape.GANG
 
 
 def test_a_gangs_heartbeat_says_what_waits_and_what_was_saved() -> None:
--- a/tests/test_gang_attempts.py
+++ b/tests/test_gang_attempts.py
@@ -60,9 +60,8 @@
     machine = next(iter(term.leader.cluster.machines.values()))
     other = make_machine("m-9")
     term.leader.placer.place_gang(gang, [machine, machine, other])
-    assert gang.placed_count() == 0 and not machine.allocations, (
-        "the third machine is not known to be up"
-    )
+    assert gang.placed_count() == 0, "the third machine is not known to be up"
+    assert not machine.allocations
     assert term.leader.cluster.team_cpus.get("red", 0.0) == 0.0
 
 
@@ -101,7 +100,8 @@
     # Only a higher fencing token that the worker has seen rules that out.
     term.leader.term.election.token = Token(TOKEN + 5)
     term.receive_heartbeat((1, 5), token=TOKEN + 5)
-    assert gang.placed_count() == 0 and gang.waiting_count() == 2
+    assert gang.placed_count() == 0
+    assert gang.waiting_count() == 2
 
 
 @pytest.mark.parametrize("recorded", [1, 2])
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(
-    "bound, zones",
+    ("bound", "zones"),
     [({"one_zone": True}, {"b"}), ({"spread": True}, {"a", "b"}), ({}, {"a", "b"})],
 )
 def test_a_gang_is_placed_together_apart_or_anywhere(
--- a/tests/test_gang_progress.py
+++ b/tests/test_gang_progress.py
@@ -43,7 +43,7 @@
     assert scorer.remaining_s(gang) == 15.0
 
 
-@pytest.mark.parametrize("attempt, learned", [(1, (2.0 + 2.0 / 3.0) / 3.0), (2, 1.0)])
+@pytest.mark.parametrize(("attempt", "learned"), [(1, (2.0 + 2.0 / 3.0) / 3.0), (2, 1.0)])
 def test_a_gang_run_time_is_learnt_once_and_only_from_a_whole_run(
     attempt: int, learned: float
 ) -> None:
--- a/tests/test_gang_replacement.py
+++ b/tests/test_gang_replacement.py
@@ -20,10 +20,12 @@
     term.leader.finish_step(term.now)
     assert placements(term) == {"m-0": [(0, 1)], "m-1": [], "m-2": [(1, 1)]}
     moved = next(iter(term.leader.cluster.machines[MachineId("m-2")].allocations.values()))
-    assert not moved.recorded and not gang.fully_recorded, "its new allocation is not recorded yet"
+    assert not moved.recorded, "its new allocation is not recorded yet"
+    assert not gang.fully_recorded
     commit = next(effect for effect in term.outbox.take() if isinstance(effect, Commit))
     commit.continuation(Committed(Version(11)))
-    assert moved.recorded and gang.fully_recorded
+    assert moved.recorded
+    assert gang.fully_recorded
     term.leader.finish_step(term.now)
     sent = [effect for effect in term.outbox.take() if isinstance(effect, DirectCommand)]
     starts = [o for effect in sent for o in effect.orders if isinstance(o, StartOrder)]
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -67,7 +67,8 @@
     started = world.started
     world.crash(leader_of(world), 5.0)
     world.clock.advance(10.0)
-    assert running(world, "job-0") == 3 and world.started == started
+    assert running(world, "job-0") == 3
+    assert world.started == started
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -101,7 +102,8 @@
             world.network.cut(name, member, "hold")
     world.users.cancel("job-0")
     world.clock.advance(CANCEL_S + 1.0)
-    assert world.cancel_confirmed_at and running(world, "job-0") == 0
+    assert world.cancel_confirmed_at
+    assert running(world, "job-0") == 0
 
 
 def test_gangs_that_fit_only_one_at_a_time_all_run_in_the_end() -> None:
--- a/tests/test_isolated.py
+++ b/tests/test_isolated.py
@@ -101,7 +101,8 @@
 
 def token_of(world: World, member: str) -> Token:
     process = world.processes[member]
-    assert process is not None and process.controller.election.token is not None
+    assert process is not None
+    assert process.controller.election.token is not None
     return process.controller.election.token
 
 
@@ -120,7 +121,8 @@
             busy.report_unreachable(member, former)
     busy.clock.advance(6.0)
     assert token_of(busy, leader_of(busy)) > term, "another term has begun"
-    assert busy.started == started and running(busy, "job-long") == 3, "running tasks continue"
+    assert busy.started == started, "running tasks continue"
+    assert running(busy, "job-long") == 3
     busy.users.cancel("job-long")
     busy.clock.advance(CANCEL_S + 1.0)
     assert running(busy, "job-long") == 0
--- a/tests/test_outage_after_partition.py
+++ b/tests/test_outage_after_partition.py
@@ -136,7 +136,8 @@
     world.clock.advance(1.0)
     (electing,) = world.leading()
     process = world.processes[electing]
-    assert process is not None and process.controller.leader is None
+    assert process is not None
+    assert process.controller.leader is None
     world.slow_watches.add(electing)
     cancel_through_others(world, electing, "job-long")
     while process.controller.leader is None:
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -73,7 +73,8 @@
     for ref, one in after.items():
         one.finish_loading()
         old = before[ref]
-        assert one.done == old.done and one.done_count == old.done_count
+        assert one.done == old.done
+        assert one.done_count == old.done_count
         assert one.placed_count() == old.placed_count()
         assert one.waiting_count() == old.waiting_count()
         for number, chunk in old.chunks.items():
@@ -104,7 +105,8 @@
     for record in records.awaited_by_starts(NOW):
         batch.add_record(record)
     assert bool(batch.writes) == bool(list(records))
-    assert len(batch.writes) <= TXN_OPS and len(batch.conditions) <= 4 * TXN_OPS
+    assert len(batch.writes) <= TXN_OPS
+    assert len(batch.conditions) <= 4 * TXN_OPS
     puts = [write for write in batch.writes if isinstance(write, Put)]
     assert len(puts) == len(batch.writes)
     assert len(msgspec.json.encode([put.value for put in puts])) <= 56 * 1024
@@ -133,11 +135,13 @@
     place(records, one)
     (record,) = records
     records.remove_job(one)
-    assert records.deferrable() == [record] and record.size == 0
+    assert records.deferrable() == [record]
+    assert record.size == 0
     record.removal_pending = True
     other = waiting("job-2")
     place(records, other)
-    assert len(list(records)) == 2 and records.deferrable() != [record]
+    assert len(list(records)) == 2
+    assert records.deferrable() != [record]
 
 
 def test_deletions_survive_a_failover() -> None:
@@ -150,6 +154,8 @@
     assert later.load([Item(put.key, put.value, Version(5))]) == ["m-1", "m-2"]
     assert later.remove_name(MachineId("m-1")) is None
     empty = later.remove_name(MachineId("m-2"))
-    assert empty is not None and empty.version == 5
+    assert empty is not None
+    assert empty.version == 5
     fresh, _ = later.with_capacity()
-    assert fresh.version == ABSENT and fresh.key != put.key
+    assert fresh.version == ABSENT
+    assert fresh.key != put.key
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -70,13 +70,15 @@
     )
     world.clock.advance(20.0)
     world.finish()
-    assert world.final_statuses["job-g"] == "done" and world.final_statuses["job-more"] == "done"
+    assert world.final_statuses["job-g"] == "done"
+    assert world.final_statuses["job-more"] == "done"
     large = [
         key
         for key, (value, _, _) in world.store.items.items()
         if len(msgspec.json.encode(value)) > SMALL_KB * 1024
     ]
-    assert not large and world.store.too_large <= 1
+    assert not large
+    assert world.store.too_large <= 1
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -133,7 +135,8 @@
         assert answer.status == 201
         gang = job(f"job-g{number}", tasks=2, team=Team("blue"), shape=Shape.GANG)
         (refusal,) = answers_to(world, others[number % 2], gang)
-        assert refusal.status == 503 and refusal.retry_after_s == 1
+        assert refusal.status == 503
+        assert refusal.retry_after_s == 1
         world.clock.advance(40.0)
     world.clock.advance(60.0)
     done = {task.job for task in world.results}
@@ -162,7 +165,8 @@
                 break
             world.end_leader(0.5)
             world.clock.advance(1.0)
-        assert world.leading() and world.leading()[0] in wanted
+        assert world.leading()
+        assert world.leading()[0] in wanted
         if turn == 1:
             world.users.cancel(f"job-t{turn}")
         host = next(w for w in world.workers.values() if w.up and not w.dead)
@@ -195,5 +199,6 @@
         world.drop_limits()
     world.clock.advance(1.0)
     world.finish()
-    assert world.final_statuses["job-g"] == "done" and world.final_statuses["job-many"] == "done"
+    assert world.final_statuses["job-g"] == "done"
+    assert world.final_statuses["job-many"] == "done"
     assert world.store.too_large <= 1
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -97,7 +97,8 @@
     for raw in (missing, senseless):
         with pytest.raises(SettingsError) as caught:
             parse(raw, "file")
-        assert name in str(caught.value) and "\n" not in str(caught.value)
+        assert name in str(caught.value)
+        assert "\n" not in str(caught.value)
 
 
 def test_a_lease_longer_than_a_cancellation_is_refused() -> None:
@@ -175,6 +176,7 @@
     assert start("--config", str(good), "--check").returncode == 0
     found = start("--config", str(bad))
     assert found.returncode == 2
-    assert "lease_s" in found.stderr and found.stderr.count("\n") == 1
+    assert "lease_s" in found.stderr
+    assert found.stderr.count("\n") == 1
     assert start("--config", str(tmp_path / "none.toml")).returncode == 2
     assert start("--version").stdout.startswith("crosscleat ")
--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -103,7 +103,8 @@
     term.receive_heartbeat((1, 1))
     leader.tick(term.now)
     (request,) = [effect for effect in term.outbox.take() if isinstance(effect, ShardRequest)]
-    assert request.member == "c1" and len(request.view.jobs) == 2
+    assert request.member == "c1"
+    assert len(request.view.jobs) == 2
     # It has not proposed before, so nobody waits for it.
     leader.finish_step(term.now)
     assert [one.placed_count() for one in leader.jobs.values()] == [1, 1]
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -135,7 +135,8 @@
     types = {machine_type.name: machine_type for machine_type in TYPES}
     fleet = Fleet(TuningOptions(), types, FixedTarget(60.0))
     request = fleet.next_scale_out(jobs, [], TEAMS, CpuUse(), NOW)
-    assert request is not None and request.count == MAX_PER_RENTAL
+    assert request is not None
+    assert request.count == MAX_PER_RENTAL
     assert 0 < priced[0] <= MAX_PRICED
 
 
@@ -165,7 +166,7 @@
 
 # Four thousand machines, and half as many again
 
-SIZES = pytest.mark.parametrize("machines", (4_000, 6_000))
+SIZES = pytest.mark.parametrize("machines", [4_000, 6_000])
 
 
 def large(machines: int) -> Term:
--- a/tests/test_task_reports.py
+++ b/tests/test_task_reports.py
@@ -88,8 +88,10 @@
         task, Attempt(1), spec, shell.id, NOWHERE, AgentEpoch(1), recorded=True, start_sent=True
     )
     cluster.add(shell, allocation)
-    assert not cluster.zone_allows(spec, Zone("a")) and not cluster.zone_allows(spec, Zone("b"))
+    assert not cluster.zone_allows(spec, Zone("a"))
+    assert not cluster.zone_allows(spec, Zone("b"))
     cluster.remove(shell, allocation)
     allocation.zone = shell.zone = Zone("a")
     cluster.add(shell, allocation)
-    assert not cluster.zone_allows(spec, Zone("a")) and cluster.zone_allows(spec, Zone("b"))
+    assert not cluster.zone_allows(spec, Zone("a"))
+    assert cluster.zone_allows(spec, Zone("b"))
--- a/tests/test_unresponsive_workers.py
+++ b/tests/test_unresponsive_workers.py
@@ -79,7 +79,8 @@
             busy.network.cut(name, member, "hold")
     tasks_before = set(worker.tasks)
     busy.clock.advance(8.0)
-    assert not worker.dead and tasks_before <= set(worker.tasks)
+    assert not worker.dead
+    assert tasks_before <= set(worker.tasks)
 
 
 def test_a_zone_that_is_cut_off_hides_no_dead_machine_elsewhere_and_is_not_returned() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -93,7 +93,8 @@
     for sample, message in FRAMES_394DFE6.items():
         assert peers.decode_message(bytes.fromhex(sample)[4:]) == message
     part = peers.decode_message(bytes.fromhex(PART_394DFE6)[4:])
-    assert isinstance(part, peers.ShardRequest) and part.view.jobs[0].spec == SPEC
+    assert isinstance(part, peers.ShardRequest)
+    assert part.view.jobs[0].spec == SPEC
     assert isinstance(
         peers.decode_message(bytes.fromhex(PROPOSED_394DFE6)[4:]), peers.ShardProposed
     )
@@ -118,7 +119,8 @@
         item = Item("ended/job-000412", record, Version(7))
         only(outbox, Read).continuation(ReadResult(item, Version(8)))
         answer = only_response(outbox)
-        assert answer.status == 200 and answer.body["status"] == status
+        assert answer.status == 200
+        assert answer.body["status"] == status
 
 
 def test_what_is_written_before_all_have_changed_is_as_production_writes_it() -> None:
@@ -209,7 +211,8 @@
     jobs = {one_job.ref: Job(one_job.spec, Version(1), NOW, small.chunk_length)}
     small.load(stored(old), jobs)
     records = list(small)
-    assert len(records) == 4 and small.take_rewritten() == []
+    assert len(records) == 4
+    assert small.take_rewritten() == []
     for record in records[:-1]:
         small.mark_rewritten(list(record.entries.values()))
         assert small.take_rewritten() == []
--- a/tests/test_upgrade_coordination.py
+++ b/tests/test_upgrade_coordination.py
@@ -46,7 +46,8 @@
                     effect.continuation()
                 elif isinstance(effect, Commit):
                     ((key, version),) = effect.conditions
-                    assert version == ABSENT and effect.writes[0].key == key
+                    assert version == ABSENT
+                    assert effect.writes[0].key == key
                     new = key not in self.keys
                     if self.answers:
                         self.keys.add(key)
@@ -67,7 +68,8 @@
     store.run()
     store.answers = True
     store.run()
-    assert store.keys == {"format/c0"} and not first.complete
+    assert store.keys == {"format/c0"}
+    assert not first.complete
     # The controller restarts: its key is stored already.
     again = store.controller("c0")
     again.begin()
@@ -99,4 +101,5 @@
     (read,) = [effect for effect in outbox.take() if isinstance(effect, Read)]
     read.continuation(ReadResult(None, Version(1)))
     (answer,) = [effect for effect in outbox.take() if isinstance(effect, Response)]
-    assert answer.status == 503 and answer.retry_after_s == 1
+    assert answer.status == 503
+    assert answer.retry_after_s == 1
--- a/tests/test_user_requests.py
+++ b/tests/test_user_requests.py
@@ -45,7 +45,8 @@
     (commit,) = submit(types=names)
     assert isinstance(commit, Commit)
     (put,) = commit.writes
-    assert isinstance(put, Put) and len(msgspec.json.encode(put.value)) < 1000
+    assert isinstance(put, Put)
+    assert len(msgspec.json.encode(put.value)) < 1000
 
 
 def test_what_can_never_run_is_refused_only_if_it_is_not_known() -> None:
@@ -98,7 +99,8 @@
     requests.query(3, JobRef("job-2"))
     pause.continuation()
     look = only(outbox, Watch)
-    assert look.after == 5 and look.block_s == 0.0
+    assert look.after == 5
+    assert look.block_s == 0.0
     requests.query(4, JobRef("job-2"))
     assert outbox.take() == [], "it came after the look began"
     look.continuation(WatchResult(Version(7), [live("job-1", 7, cancelled=True)]))
@@ -107,7 +109,8 @@
         "aborted",
         "queued",
     ]
-    assert len(answers) == 2 and isinstance(later, Delay)
+    assert len(answers) == 2
+    assert isinstance(later, Delay)
     later.continuation()
     look = only(outbox, Watch)
     assert look.after == 7
@@ -119,7 +122,8 @@
         ReadResult(Item("ended/job-2", {"tasks": 3, "aborted": False}, Version(9)), Version(9))
     )
     answer = only_response(outbox)
-    assert answer.request == 4 and answer.body["status"] == "done"
+    assert answer.request == 4
+    assert answer.body["status"] == "done"
 
 
 def test_a_failed_read_is_answered_at_once_and_an_outdated_copy_is_reloaded() -> None:
