--- a/src/crosscleat/adapters/state_client.py
+++ b/src/crosscleat/adapters/state_client.py
@@ -18,6 +18,7 @@
 
 from ..core.model.ids import LeaseId, Version
 from ..core.model.store_calls import (
+    ChangesLost,
     Commit,
     CommitOutcome,
     Committed,
@@ -35,7 +36,7 @@
     ScanResult,
     Unanswered,
     Watch,
-    WatchResult,
+    WatchOutcome,
 )
 from ..wire import state as wire
 from .clock import steady
@@ -145,7 +146,7 @@
                 return ScanResult(items, first_revision)
             after = page.items[-1].key
 
-    async def watch(self, call: Watch) -> WatchResult | Unanswered:
+    async def watch(self, call: Watch) -> WatchOutcome:
         """Changes below the prefix, as they come."""
         if call.for_user and self._connection.is_down():
             # No share is counted: whoever asks bounds how often.
@@ -158,7 +159,7 @@
             timeout_s = call.block_s + WATCH_MARGIN_S
             response = await self._connection.try_once("GET", path, None, timeout_s)
         if response is not None and response.status == 410:
-            return WatchResult(call.after, [], lost=True)
+            return ChangesLost()
         return _decode_success(wire.decode_changes, response)
 
     # Leases
--- a/src/crosscleat/core/control/job_watch.py
+++ b/src/crosscleat/core/control/job_watch.py
@@ -12,7 +12,15 @@
 from ..election.term import LeadingTerm
 from ..model.effects import Delay, Outbox
 from ..model.ids import Seconds, Version
-from ..model.store_calls import Item, Scan, ScanResult, Unanswered, Watch, WatchResult
+from ..model.store_calls import (
+    ChangesLost,
+    Item,
+    Scan,
+    ScanResult,
+    Unanswered,
+    Watch,
+    WatchOutcome,
+)
 from ..state.keys import DECOMMISSIONED, FORMAT, LIVE, PLACEMENTS
 
 WATCH_BLOCK_S = 1.0
@@ -106,23 +114,23 @@
                 LIVE,
                 self._after,
                 WATCH_BLOCK_S,
-                lambda watch_result: self._answered(opened, watch_result),
+                lambda outcome: self._answered(opened, outcome),
             )
         )
 
-    def _answered(self, opened: Seconds, watch_result: WatchResult | Unanswered) -> None:
+    def _answered(self, opened: Seconds, outcome: WatchOutcome) -> None:
         if self._term.retired:
             return
-        if isinstance(watch_result, Unanswered):
+        if isinstance(outcome, Unanswered):
             self._term.outbox.add(Delay(WATCH_RETRY_S, self.begin))
-        elif watch_result.lost:
+        elif isinstance(outcome, ChangesLost):
             self._read_all()
         else:
             self._term.watch_answered(opened)
-            changes = [change for change in watch_result.changes if change.key.startswith(LIVE)]
+            changes = [change for change in outcome.changes if change.key.startswith(LIVE)]
             if changes:
                 self._changed(changes, self._term.now)
-            self._after = max(self._after, watch_result.revision)
+            self._after = max(self._after, outcome.revision)
             self.begin()
 
     def _read_all(self) -> None:
--- a/src/crosscleat/core/control/live_jobs.py
+++ b/src/crosscleat/core/control/live_jobs.py
@@ -10,7 +10,15 @@
 
 from ..model.effects import Outbox
 from ..model.ids import JobRef, Version
-from ..model.store_calls import Item, Scan, ScanResult, Unanswered, Watch, WatchResult
+from ..model.store_calls import (
+    ChangesLost,
+    Item,
+    Scan,
+    ScanResult,
+    Unanswered,
+    Watch,
+    WatchOutcome,
+)
 from ..state.job_records import is_cancelled
 from ..state.keys import LIVE
 
@@ -44,17 +52,17 @@
             self._read_all(refreshed)
             return
 
-        def changes_received(watch_result: WatchResult | Unanswered) -> None:
-            if isinstance(watch_result, Unanswered):
+        def changes_received(outcome: WatchOutcome) -> None:
+            if isinstance(outcome, Unanswered):
                 refreshed(False)
                 return
-            if watch_result.lost:
-                # The store has no longer all changes since: this copy is too old to go on from.
+            if isinstance(outcome, ChangesLost):
+                # This copy is too old to go on from.
                 self._revision = None
                 self._read_all(refreshed)
                 return
-            self._revision = max(after, watch_result.revision)
-            self._apply(watch_result.changes)
+            self._revision = max(after, outcome.revision)
+            self._apply(outcome.changes)
             refreshed(True)
 
         self._outbox.add(Watch(LIVE, after, 0.0, changes_received, for_user=True))
--- a/src/crosscleat/core/control/writer.py
+++ b/src/crosscleat/core/control/writer.py
@@ -260,15 +260,12 @@
 
         Returns whether the transaction was sent.
         """
-        rotation = self._term.election.rotation()
-        if rotation is None:
-            return False
-        self.writing = True
-        self._rotated_at = now
 
-        def rotated(result: CommitOutcome) -> None:
-            rotation.continuation(result)
+        def decided() -> None:
             self.writing = False
 
-        self._term.outbox.add(Commit(rotation.conditions, rotation.writes, rotated))
+        if not self._term.election.rotate(decided):
+            return False
+        self.writing = True
+        self._rotated_at = now
         return True
--- a/src/crosscleat/core/election/election.py
+++ b/src/crosscleat/core/election/election.py
@@ -32,6 +32,7 @@
     RevokeLease,
     Unanswered,
     Watch,
+    WatchOutcome,
     WatchResult,
 )
 from ..state.keys import LEADER
@@ -160,28 +161,26 @@
                 LEADER,
                 after,
                 WATCH_BLOCK_S,
-                lambda watch_result: self._watch_answered(generation, after, watch_result),
+                lambda outcome: self._watch_answered(generation, after, outcome),
             )
         )
 
-    def _watch_answered(
-        self, generation: int, after: Version, watch_result: WatchResult | Unanswered
-    ) -> None:
+    def _watch_answered(self, generation: int, after: Version, outcome: WatchOutcome) -> None:
         if generation != self._generation:
             return
-        if isinstance(watch_result, Unanswered) or watch_result.lost:
+        if not isinstance(outcome, WatchResult):
             self._begin_later(0.2 + 0.3 * self._rng.random())
             return
-        changes = [change for change in watch_result.changes if change.key == LEADER]
+        changes = [change for change in outcome.changes if change.key == LEADER]
         if not changes:
-            self._watch(max(after, watch_result.revision))
+            self._watch(max(after, outcome.revision))
         elif changes[-1].version == ABSENT:
             self.leader = None
             # Not all at the same instant: the store counts failed transactions too.
             self._begin_later(0.05 * self._rng.random())
         else:
             self._follow(changes[-1].value)
-            self._watch(watch_result.revision)
+            self._watch(outcome.revision)
 
     def revoke_leader_lease(self, member: Member) -> None:
         """The leader refuses connections: revoke its lease rather than wait until it expires.
@@ -271,16 +270,28 @@
             self.contact = max(self.contact, sent)
         self._later(RENEW_S if renewed else RENEW_RETRY_S, lambda: self._renew(generation))
 
-    def rotation(self) -> Commit | None:
-        """The transaction that gives the key, and so us, a higher token; None: we don't lead."""
+    def rotate(self, decided: Callable[[], None]) -> bool:
+        """Write the leader key once more, which gives us a higher token.
+
+        Returns whether the transaction was sent; if so, `decided` is called after its outcome has
+        been taken in. No other write of ours may be in flight meanwhile.
+        """
         if self.token is None or self._lease is None:
-            return None
+            return False
         generation = self._generation
-        return Commit(
-            ((LEADER, Version(self.token)),),
-            (Put(LEADER, self._record(self._lease), self._lease),),
-            lambda result: self._rotated(generation, result),
+
+        def rotated(result: CommitOutcome) -> None:
+            self._rotated(generation, result)
+            decided()
+
+        self._outbox.add(
+            Commit(
+                ((LEADER, Version(self.token)),),
+                (Put(LEADER, self._record(self._lease), self._lease),),
+                rotated,
+            )
         )
+        return True
 
     def _rotated(self, generation: int, result: CommitOutcome) -> None:
         if generation != self._generation:
--- a/src/crosscleat/core/model/store_calls.py
+++ b/src/crosscleat/core/model/store_calls.py
@@ -83,11 +83,17 @@
 
 
 class WatchResult(msgspec.Struct, frozen=True):
-    """Changes after a revision; a version of 0 marks a removed key. `lost`: reread everything."""
+    """Changes after a revision; a version of 0 marks a removed key."""
 
     revision: Version
     changes: list[Item]
-    lost: bool = False
+
+
+class ChangesLost(msgspec.Struct, frozen=True):
+    """The store no longer has all changes after that revision: the keys must be read again."""
+
+
+WatchOutcome = WatchResult | ChangesLost | Unanswered
 
 
 class Commit(msgspec.Struct, frozen=True):
@@ -125,7 +131,7 @@
     prefix: str
     after: Version
     block_s: float
-    continuation: Callable[[WatchResult | Unanswered], None]
+    continuation: Callable[[WatchOutcome], None]
     for_user: bool = False
 
 
--- a/tests/test_user_requests.py
+++ b/tests/test_user_requests.py
@@ -11,6 +11,7 @@
 from crosscleat.core.model.ids import JobRef, TypeName, Version, WallTime
 from crosscleat.core.model.job_spec import Shape
 from crosscleat.core.model.store_calls import (
+    ChangesLost,
     Commit,
     Conflict,
     Item,
@@ -134,7 +135,7 @@
     assert outbox.take() == [Response(2, 503, None, 1)]
     requests.query(3, JobRef("job-2"))
     only(outbox, Delay).continuation()
-    only(outbox, Watch).continuation(WatchResult(Version(5), [], lost=True))
+    only(outbox, Watch).continuation(ChangesLost())
     only(outbox, Scan).continuation(ScanResult([live("job-2", 99, cancelled=True)], Version(99)))
     assert only_response(outbox).body["status"] == "aborted"
 
