--- a/src/crosscleat/core/control/placer.py
+++ b/src/crosscleat/core/control/placer.py
@@ -57,7 +57,7 @@
         )
         self._cluster.add(machine, allocation)
         # Images are taken to be fetched one after the other.
-        last_ready = max(machine.images.values(), default=now)
+        last_ready = max(machine.images.ready_at.values(), default=now)
         ready = Seconds(max(now, last_ready) + fetch_time(spec, machine.type))
         machine.use_image(spec.image, spec.image_gb, ready)
 
--- a/src/crosscleat/core/control/task_statuses.py
+++ b/src/crosscleat/core/control/task_statuses.py
@@ -52,7 +52,7 @@
         now = self._term.now
         allocation.running_since = now
         machine.use_image(allocation.spec.image, allocation.spec.image_gb, now)
-        machine.images[allocation.spec.image] = min(now, machine.images[allocation.spec.image])
+        machine.images.mark_present(allocation.spec.image, now)
         if job is None:
             return
         if job.is_gang:
--- a/src/crosscleat/core/scheduling/feasibility.py
+++ b/src/crosscleat/core/scheduling/feasibility.py
@@ -223,7 +223,7 @@
     def fetch_s(self, job: Job, candidate: FreeCapacity) -> float:
         """Seconds until the machine has the job's image, behind its other fetches."""
         machine = candidate.machine
-        ready = machine.images.get(job.spec.image)
+        ready = machine.images.ready_at.get(job.spec.image)
         if ready is not None:
             return max(0.0, ready - self.now)
         fetching = self._fetches.get((machine.id, job.spec.image))
--- a/src/crosscleat/core/scheduling/ranking.py
+++ b/src/crosscleat/core/scheduling/ranking.py
@@ -36,7 +36,7 @@
     min_cpus = min(job.spec.cpus for job in waiting) - ROUNDING
     found = [candidate for candidate in candidates if candidate.cpus >= min_cpus]
     for candidate in found:
-        images = candidate.machine.images.values()
+        images = candidate.machine.images.ready_at.values()
         candidate.fetching_s = max(0.0, max(images, default=now) - now)
     return found
 
--- a/src/crosscleat/core/scheduling/shard_planning.py
+++ b/src/crosscleat/core/scheduling/shard_planning.py
@@ -13,6 +13,7 @@
 from ..model.ids import Seconds, TypeName, Version
 from ..model.shards import JobView, MachineView, ShardProposal, ShardView
 from ..state.cluster import ClusterState
+from ..state.image_cache import ImageCache
 from ..state.jobs import Job
 from ..state.machine import Machine
 from .assignments import Reservation
@@ -76,7 +77,9 @@
         used_cpus=view.used_cpus,
         used_gpus=view.used_gpus,
         used_memory=view.used_memory,
-        images={image: Seconds(now + ready_s) for image, ready_s in view.images.items()},
+        images=ImageCache(
+            {image: Seconds(now + ready_s) for image, ready_s in view.images.items()}
+        ),
     )
 
 
--- a/src/crosscleat/core/scheduling/sharding.py
+++ b/src/crosscleat/core/scheduling/sharding.py
@@ -146,7 +146,7 @@
         machine.used_cpus,
         machine.used_gpus,
         machine.used_memory,
-        {Image(image): max(0.0, ready - now) for image, ready in machine.images.items()},
+        {Image(image): max(0.0, ready - now) for image, ready in machine.images.ready_at.items()},
         _reservation_view(reservation, now),
     )
 
--- a/src/crosscleat/core/state/machine.py
+++ b/src/crosscleat/core/state/machine.py
@@ -20,6 +20,7 @@
 from ..model.quantities import ROUNDING
 from .allocations import Allocation, AttemptKey
 from .direct_channel import DirectChannel
+from .image_cache import ImageCache
 
 NEVER_ANSWERED = Seconds(-math.inf)
 
@@ -76,9 +77,7 @@
     """The store has the decision to delete it: the deletion may be sent."""
     deletion_sent_at: Seconds | None = None
     """When its deletion was last sent to the cloud."""
-    images: dict[str, Seconds] = field(default_factory=dict)
-    """Images it should have, and from when on; the most recently used one comes last."""
-    image_gb: dict[str, float] = field(default_factory=dict)
+    images: ImageCache = field(default_factory=ImageCache)
     allocations: dict[AttemptKey, Allocation] = field(default_factory=dict)
     exited: dict[AttemptKey, str] = field(default_factory=dict)
     """Attempts that the newest heartbeat lists as exited, with their causes."""
@@ -136,16 +135,11 @@
     def use_image(self, image: str, size_gb: float, ready: Seconds) -> None:
         """Enter an image as present from `ready` on, and evict others beyond the size of the cache.
 
-        The least recently used are evicted first, but none that an allocation needs.
+        None is evicted that an allocation needs.
         """
-        self.images[image] = self.images.pop(image, ready)
-        self.image_gb[image] = size_gb
-        wanted = {allocation.spec.image for allocation in self.allocations.values()}
-        for old in list(self.images):
-            if sum(self.image_gb.values()) <= self.type.cache_gb or old == image:
-                break
-            if old not in wanted:
-                del self.images[old], self.image_gb[old]
+        self.images.use(image, size_gb, ready)
+        needed = {allocation.spec.image for allocation in self.allocations.values()}
+        self.images.evict(self.type.cache_gb, needed, image)
 
     def allows(self, job: JobSpec) -> bool:
         """Whether the job's constraints on type, zone and spot machines allow this machine."""
--- a/src/crosscleat/core/state/placement_records.py
+++ b/src/crosscleat/core/state/placement_records.py
@@ -179,7 +179,7 @@
         if chunk.record_number is not None:
             return self._records[chunk.record_number]
         size = self._bytes(job)
-        record = next((r for r in self._records.values() if self._has_capacity(r, size)), None)
+        record = next((existing for existing in self if self._has_capacity(existing, size)), None)
         if record is None:
             record = PlacementRecord(self._next, chunk_length=self.chunk_length)
             self._records[record.number] = record
@@ -219,9 +219,9 @@
     def deferrable(self) -> list[PlacementRecord]:
         """Records that changed, and empty ones to be removed: no start need wait for either."""
         return [
-            r
-            for r in self._records.values()
-            if r.dirty or (not r.entries and not r.removal_pending)
+            record
+            for record in self
+            if record.dirty or (not record.entries and not record.removal_pending)
         ]
 
     def remove_record(self, record: PlacementRecord) -> None:
--- a/tests/test_cycle.py
+++ b/tests/test_cycle.py
@@ -76,7 +76,7 @@
         "m-1"
     ]
     ready, bare = make_machine("m-0"), make_machine("m-1")
-    ready.images[Image("big")] = Seconds(0.0)
+    ready.images.ready_at[Image("big")] = Seconds(0.0)
     large = make_job("job-1", tasks=1, image=Image("big"), image_gb=20.0)
     assert [c.machine for c in plan_cycle([large], [bare, ready])] == ["m-0"]
 
@@ -133,7 +133,7 @@
     one = make_machine("m-0")
     for image, size in (("a", 8.0), ("b", 8.0), ("a", 8.0), ("c", 8.0)):
         one.use_image(Image(image), size, NOW)
-    assert list(one.images) == ["a", "c"], "20 GB hold two of them"
+    assert list(one.images.ready_at) == ["a", "c"], "20 GB hold two of them"
 
 
 def test_small_urgent_tasks_do_not_keep_large_ones_waiting_for_ever() -> None:
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -48,7 +48,7 @@
     assert {c.machine for c in plan_cycle([gang], [*halves, whole])} == {"m-2"}
     far = make_job("job-g", tasks=4, cpus=1.0, shape=Shape.GANG, team=Team("blue"), image_gb=20.0)
     for half in halves:
-        half.images[Image("img")] = Seconds(0.0)
+        half.images.ready_at[Image("img")] = Seconds(0.0)
     assert {c.machine for c in plan_cycle([far], [*halves, whole])} == {"m-0", "m-1"}
 
 
@@ -57,7 +57,7 @@
     changes = {"cpus": 8.0, "tasks": 2, "image_gb": 2.0 * GANG_WAIT_S, "team": Team("blue")}
     gang = make_job("job-g", shape=Shape.GANG, estimate_s=500.0, **changes)
     ready = make_machine("m-0")
-    ready.images[Image("img")] = Seconds(0.0)
+    ready.images.ready_at[Image("img")] = Seconds(0.0)
     assert plan_cycle([gang], [ready, make_machine("m-1")]) == []
     found = plan_cycle([gang], [ready, make_machine("m-1"), make_machine("m-2")])
     assert {c.machine for c in found} == {"m-1", "m-2"}, "they fetch the image at the same time"
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -203,7 +203,7 @@
     term = large(machines)
     images = {f"image-{number:04d}": Seconds(0.0) for number in range(10)}
     for machine in term.leader.cluster.machines.values():
-        machine.images = dict(images)
+        machine.images.ready_at = dict(images)
     failing = {MachineId(f"m-{number:06d}") for number in range(machines)}
     for number in range(200):
         ref = JobRef(f"job-{number:06d}")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -132,9 +132,9 @@
         assert peers.encode_frame(message).hex() == sample
     part = peers.decode_message(bytes.fromhex(PART_394DFE6)[4:])
     assert peers.encode_frame(part).hex() == PART_394DFE6
-    decommission_records, room = DecommissionRecords(SMALL_KB).with_capacity()
+    decommission_records, capacity = DecommissionRecords(SMALL_KB).with_capacity()
     assert decommission_records.put([MachineId("m-000009")]).value == {"machines": ["m-000009"]}
-    assert room >= 50
+    assert capacity >= 50
 
 
 @given(st.integers(1, 450), st.data())
