--- a/src/crosscleat/adapters/commit_queue.py
+++ b/src/crosscleat/adapters/commit_queue.py
@@ -5,7 +5,6 @@
 import asyncio
 from collections import deque
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass
 
 import msgspec
 
@@ -20,8 +19,7 @@
 SendTransaction = Callable[[list[Commit]], Awaitable[CommitOutcome]]
 
 
-@dataclass(frozen=True, slots=True)
-class _Waiting:
+class _Waiting(msgspec.Struct, frozen=True):
     commit: Commit
     outcome: asyncio.Future[CommitOutcome]
 
--- a/src/crosscleat/adapters/http_calls.py
+++ b/src/crosscleat/adapters/http_calls.py
@@ -4,12 +4,12 @@
 
 import asyncio
 from logging import Logger
-from typing import NamedTuple
 
 import aiohttp
+import msgspec
 
 
-class HttpResponse(NamedTuple):
+class HttpResponse(msgspec.Struct, frozen=True):
     """A service's answer."""
 
     status: int
--- a/src/crosscleat/app.py
+++ b/src/crosscleat/app.py
@@ -95,5 +95,5 @@
 def run(settings: Settings, tuning: TuningOptions) -> None:
     """Run a controller until a signal ends the process."""
     signal.signal(signal.SIGINT, signal.SIG_DFL)
-    log.info("in %s, listens on %s", settings.zone, settings.listen)
+    log.info("zone %s, listening on %s", settings.zone or "not set", settings.listen)
     asyncio.run(_main(settings, tuning))
--- a/src/crosscleat/runtime/clients.py
+++ b/src/crosscleat/runtime/clients.py
@@ -3,9 +3,10 @@
 from __future__ import annotations
 
 from contextlib import AsyncExitStack
-from dataclasses import dataclass
 from random import Random
 
+import msgspec
+
 from ..adapters.cloud_client import CloudClient
 from ..adapters.state_client import StateClient
 from ..adapters.worker_client import WorkerClient
@@ -13,8 +14,7 @@
 from .sockets import SocketBudget, client_session
 
 
-@dataclass(frozen=True, slots=True)
-class Clients:
+class Clients(msgspec.Struct, frozen=True):
     """One client for each service, each with sockets of its own."""
 
     state: StateClient
--- a/src/crosscleat/wire/cloud.py
+++ b/src/crosscleat/wire/cloud.py
@@ -6,8 +6,6 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple
-
 import msgspec
 
 from ..core.model.cloud import ListedMachine, MachineType
@@ -88,7 +86,7 @@
     more: bool = False
 
 
-class MachinePage(NamedTuple):
+class MachinePage(msgspec.Struct, frozen=True):
     """One page of the machine list."""
 
     machines: list[ListedMachine]
--- a/src/crosscleat/wire/state.py
+++ b/src/crosscleat/wire/state.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple
+from typing import Any
 
 import msgspec
 
@@ -74,7 +74,7 @@
     news: list[Change] = []
 
 
-class ItemPage(NamedTuple):
+class ItemPage(msgspec.Struct, frozen=True):
     """One page of the keys with a prefix, as they were at the revision."""
 
     items: list[Item]
