--- a/src/crosscleat/core/control/writer.py
+++ b/src/crosscleat/core/control/writer.py
@@ -158,8 +158,8 @@
             if machine.decommissioning and not machine.decommission_recorded
         ]
         if unrecorded and batch.has_capacity(1, 1):
-            batch.decommission_record, room = self._decommission_records.with_capacity()
-            batch.decommissioned = unrecorded[: min(room, MAX_DECOMMISSIONS)]
+            batch.decommission_record, names_left = self._decommission_records.with_capacity()
+            batch.decommissioned = unrecorded[: min(names_left, MAX_DECOMMISSIONS)]
             batch.put(
                 batch.decommission_record.put(machine.id for machine in batch.decommissioned),
                 batch.decommission_record.version,
