--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the region on loopback: state service, cloud and workers, met by the protocol.
+"""Stand-ins for the region on loopback: store, cloud and workers that speak the protocol.
 
 Run as a program, it prints its addresses and serves until killed. Written for one test; it
 knows just enough of the protocol to run jobs, and nothing of crosscleat.
@@ -53,7 +53,7 @@
 
     def end_lease(self, lease: int) -> None:
         self.leases.pop(lease, None)
-        for key in [k for k, (_, _, held) in self.items.items() if held == lease]:
+        for key in [k for k, (_, _, owner) in self.items.items() if owner == lease]:
             self.revision += 1
             del self.items[key]
             self.append_change(key, None)
@@ -76,7 +76,7 @@
     async def scan(self, request: web.Request) -> web.Response:
         prefix, after = request.query["starts"], request.query.get("after", "")
         keys = sorted(k for k in self.items if k.startswith(prefix) and k > after)
-        # Small pages, so that reading on is tested.
+        # Small pages, so that reading several pages is tested.
         pairs = [{"path": k, "data": self.items[k][0], "stamp": self.items[k][1]} for k in keys[:3]]
         return pack({"pairs": pairs, "more": len(keys) > 3, "ledger_rev": self.revision})
 
@@ -149,10 +149,10 @@
         app = web.Application()
         app.add_routes([web.post("/do", self.do), web.get("/show", self.show)])
         self.address = await serve(app)
-        node = 0
+        controller_index = 0
         async with aiohttp.ClientSession() as session:
             while True:
-                url = f"http://{self.region.controllers[node % 3]}/checkin"
+                url = f"http://{self.region.controllers[controller_index % 3]}/checkin"
                 try:
                     async with (
                         asyncio.timeout(2.0),
@@ -162,7 +162,7 @@
                 except (aiohttp.ClientError, OSError, TimeoutError):
                     answer = None
                 if answer is None:
-                    node += 1
+                    controller_index += 1
                     await asyncio.sleep(0.2)
                     continue
                 if answer["baton"] >= self.token:
@@ -241,8 +241,8 @@
         self.starts[task] = self.starts.get(task, 0) + 1
         for other in self.workers:
             if other.name != worker and any(
-                pick == task and held["status"] == "running"
-                for (pick, _), held in other.tasks.items()
+                pick == task and status["status"] == "running"
+                for (pick, _), status in other.tasks.items()
             ):
                 self.broken.append(f"{task} on {worker} and {other.name}")
 
--- a/tests/test_cycle.py
+++ b/tests/test_cycle.py
@@ -46,23 +46,23 @@
 ) -> None:
     assignments = plan_cycle(waiting_jobs, fleet)
     by_ref = {j.ref: j for j in waiting_jobs}
-    for one in fleet:
-        here = [by_ref[c.job].spec for c in assignments if c.machine == one.id]
-        assert sum(spec.cpus for spec in here) <= one.type.cpus
-        assert sum(spec.memory_gb for spec in here) <= one.type.memory_gb
-    zones = {one.id: one.zone for one in fleet}
+    for machine in fleet:
+        here = [by_ref[c.job].spec for c in assignments if c.machine == machine.id]
+        assert sum(spec.cpus for spec in here) <= machine.type.cpus
+        assert sum(spec.memory_gb for spec in here) <= machine.type.memory_gb
+    zones = {machine.id: machine.zone for machine in fleet}
     for team, limits in TEAMS.items():
         used = [by_ref[c.job].spec for c in assignments if by_ref[c.job].spec.team == team]
         assert sum(spec.cpus for spec in used) <= limits.cpus_max
-    for ref, one_job in by_ref.items():
+    for ref, waiting_job in by_ref.items():
         places = [zones[c.machine] for c in assignments if c.job == ref]
-        assert len(places) <= one_job.spec.tasks
-        if one_job.spec.one_zone:
+        assert len(places) <= waiting_job.spec.tasks
+        if waiting_job.spec.one_zone:
             assert len(set(places)) <= 1
-        if one_job.spec.spread:
-            assert all(places.count(zone) <= one_job.spec.per_zone() for zone in places)
-        if one_job.spec.shape is Shape.GANG:
-            assert len(places) in (0, one_job.spec.tasks)
+        if waiting_job.spec.spread:
+            assert all(places.count(zone) <= waiting_job.spec.per_zone() for zone in places)
+        if waiting_job.spec.shape is Shape.GANG:
+            assert len(places) in (0, waiting_job.spec.tasks)
 
 
 def test_a_scheduling_cycle_prefers_urgent_work_spot_machines_and_present_images() -> None:
@@ -95,29 +95,29 @@
 
 def test_an_attempt_that_may_still_start_is_not_proven_ended() -> None:
     spec = job("job-1")
-    one = make_machine("m-0")
+    machine = make_machine("m-0")
     waiting_job = make_job("job-1")
-    task, attempt = waiting_job.place(one.id, AgentEpoch(1))
+    task, attempt = waiting_job.place(machine.id, AgentEpoch(1))
     allocation = Allocation(
         task,
         attempt,
         spec,
-        one.id,
-        one.zone,
+        machine.id,
+        machine.zone,
         AgentEpoch(1),
         start_sent=True,
         start_sent_at_sequence=5,
     )
-    one.shown_token, one.direct.pending_start_token, one.heartbeat_sequence = 7, 6, 6
-    assert not one.may_still_start(allocation)
-    one.heartbeat_sequence = 5
-    assert one.may_still_start(allocation), "the answer with the start may be under way"
-    one.heartbeat_sequence, one.direct.pending_start_token = 6, 7
-    assert one.may_still_start(allocation), "a direct start was lost under the present token"
-    one.direct.pending_start_token, one.direct.in_flight = 6, True
-    assert one.may_still_start(allocation)
+    machine.shown_token, machine.direct.pending_start_token, machine.heartbeat_sequence = 7, 6, 6
+    assert not machine.may_still_start(allocation)
+    machine.heartbeat_sequence = 5
+    assert machine.may_still_start(allocation), "the response with the start may be in flight"
+    machine.heartbeat_sequence, machine.direct.pending_start_token = 6, 7
+    assert machine.may_still_start(allocation), "a direct start was lost under the current token"
+    machine.direct.pending_start_token, machine.direct.in_flight = 6, True
+    assert machine.may_still_start(allocation)
     allocation.start_sent = False
-    assert not one.may_still_start(allocation)
+    assert not machine.may_still_start(allocation)
 
 
 def test_estimates_follow_what_jobs_took() -> None:
@@ -130,10 +130,10 @@
 
 
 def test_a_machine_forgets_the_images_used_longest_ago() -> None:
-    one = make_machine("m-0")
+    machine = make_machine("m-0")
     for image, size in (("a", 8.0), ("b", 8.0), ("a", 8.0), ("c", 8.0)):
-        one.use_image(Image(image), size, NOW)
-    assert list(one.images.ready_at) == ["a", "c"], "20 GB hold two of them"
+        machine.use_image(Image(image), size, NOW)
+    assert list(machine.images.ready_at) == ["a", "c"], "20 GB are enough for two"
 
 
 def test_small_urgent_tasks_do_not_keep_large_ones_waiting_for_ever() -> None:
@@ -144,11 +144,13 @@
     small = make_job("job-small", tasks=4, cpus=1.0, priority=Priority.PRODUCTION)
     assert plan_cycle([large, small], [half_used]) == []
     large.submitted = Seconds(NOW - 10.0)
-    assert len(plan_cycle([large, small], [half_used])) == 2, "not so soon, for work that is urgent"
+    assert len(plan_cycle([large, small], [half_used])) == 2, (
+        "urgent work does not wait for it so soon"
+    )
     equal = make_job("job-equal", tasks=4, cpus=1.0)
     assert plan_cycle([large, equal], [half_used]) == []
     large.submitted = Seconds(NOW - 61.0)
-    # Once it is empty the large task has it; and what is not large keeps nobody waiting.
+    # Once it is empty the large task gets it; a task that is not large reserves nothing.
     assert [c.job for c in plan_cycle([large, small], [make_machine("m-0")])] == ["job-large"]
     half_used.used_cpus = 7.5
     medium = make_job("job-medium", tasks=1, cpus=2.0)
@@ -159,8 +161,8 @@
 
 def test_a_scheduling_cycle_looks_at_every_machine_unless_there_are_too_many_pairs() -> None:
     fleet = [make_machine(f"m-{n}") for n in range(400)]
-    for one in fleet[:-1]:
-        one.used_cpus = 8.0
+    for machine in fleet[:-1]:
+        machine.used_cpus = 8.0
     assert [c.machine for c in plan_cycle([make_job("job-1", tasks=1)], fleet)] == ["m-399"]
 
 
@@ -170,9 +172,7 @@
         many = make_job("job-1", tasks=40, cpus=1.0, memory_gb=0.1, priority=priority)
         assert len(plan_cycle([many], fleet, reserve=1.0)) == count, "red may use 14 CPUs"
     alone = make_job("job-1", tasks=1, cpus=8.0, team=Team("red"))
-    assert len(plan_cycle([alone], fleet, reserve=20.0)) == 1, (
-        "but none is kept from starting at all"
-    )
+    assert len(plan_cycle([alone], fleet, reserve=20.0)) == 1, "but no job is kept from starting"
 
 
 def test_late_work_starts_among_ever_new_work_of_higher_value() -> None:
@@ -182,10 +182,12 @@
     fleet = [make_machine("m-0")]
     fleet[0].used_cpus = 4.0
     assert [c.job for c in plan_cycle([new, old], fleet)] == ["job-old", "job-new"], (
-        "one task of it"
+        "one of its tasks"
     )
     old.place(MachineId("m-9"), AgentEpoch(1))
-    assert [c.job for c in plan_cycle([new, old], fleet)] == ["job-new", "job-new"], "it has begun"
+    assert [c.job for c in plan_cycle([new, old], fleet)] == ["job-new", "job-new"], (
+        "the old job has started"
+    )
 
 
 def test_no_job_waits_for_long_while_a_machine_has_free_capacity_for_it() -> None:
@@ -209,7 +211,7 @@
         assert plan_cycle([*others, small], fleet, reserve=reserve) == []
         small.submitted = Seconds(NOW - 61.0)
         (assignment,) = plan_cycle([*others, small], fleet, reserve=reserve)
-        assert assignment == Assignment(small.ref, kept.id), "one task of it"
+        assert assignment == Assignment(small.ref, kept.id), "one of its tasks"
         # It counts from when the last of its tasks left its machine.
         small.idle_since = Seconds(NOW - 30.0)
         assert plan_cycle([*others, small], fleet, reserve=reserve) == []
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -45,12 +45,12 @@
 
 # Workers
 
-CHECK_IN: dict[str, Any] = {
+HEARTBEAT_BODY: dict[str, Any] = {
     "box": "m-000007", "addr": "10.0.0.1:9000", "rig": "small", "yard": "north", "loaners": True,
     "shift": 3, "tally": 17, "baton": 41, "recall_s": 110.0,
     "picks": [{"pick": "job-1/4", "try": 2, "status": "exited", "cause": "stopped", "saved": True}],
 }  # fmt: skip
-REPORT = Heartbeat(
+HEARTBEAT = Heartbeat(
     machine=MachineId("m-000007"),
     address="10.0.0.1:9000",
     type=TypeName("small"),
@@ -89,33 +89,33 @@
 
 
 def test_every_field_of_a_heartbeat_is_read() -> None:
-    assert workers.parse_heartbeat(pack(CHECK_IN)) == REPORT
+    assert workers.parse_heartbeat(pack(HEARTBEAT_BODY)) == HEARTBEAT
 
 
 def test_the_optional_fields_of_a_heartbeat_may_be_missing() -> None:
     pick = {"pick": "job-1/4", "try": 2, "status": "exited"}
-    body = {name: CHECK_IN[name] for name in CHECK_IN if name != "recall_s"}
-    task = REPLACE(REPORT.tasks[0], cause=None, saved=False)
-    heartbeat = REPLACE(REPORT, notice_s=None, tasks=(task,))
+    body = {name: HEARTBEAT_BODY[name] for name in HEARTBEAT_BODY if name != "recall_s"}
+    task = REPLACE(HEARTBEAT.tasks[0], cause=None, saved=False)
+    heartbeat = REPLACE(HEARTBEAT, notice_s=None, tasks=(task,))
     assert workers.parse_heartbeat(pack({**body, "picks": [pick]})) == heartbeat
 
 
-@pytest.mark.parametrize("name", [name for name in CHECK_IN if name != "recall_s"])
+@pytest.mark.parametrize("name", [name for name in HEARTBEAT_BODY if name != "recall_s"])
 def test_every_other_field_of_a_heartbeat_must_be_there(name: str) -> None:
-    body = {other: CHECK_IN[other] for other in CHECK_IN if other != name}
+    body = {other: HEARTBEAT_BODY[other] for other in HEARTBEAT_BODY if other != name}
     assert workers.parse_heartbeat(pack(body)) is None
 
 
-def report_of(status: str, cause: str | None) -> Heartbeat:
+def heartbeat_with(status: str, cause: str | None) -> Heartbeat:
     pick = {"pick": "job-1/4", "try": 2, "status": status, "cause": cause}
-    heartbeat = workers.parse_heartbeat(pack({**CHECK_IN, "picks": [pick]}))
+    heartbeat = workers.parse_heartbeat(pack({**HEARTBEAT_BODY, "picks": [pick]}))
     assert heartbeat is not None
     return heartbeat
 
 
 @pytest.mark.parametrize(("word", "known"), STATES)
 def test_each_state_of_a_task_is_known(word: str, known: str) -> None:
-    heartbeat = report_of(word, None)
+    heartbeat = heartbeat_with(word, None)
     assert heartbeat.tasks[0].state == known
     assert not heartbeats.unknown_words(heartbeat)
     assert len(workers.STATES) == len(heartbeats.STATES) == 5
@@ -123,7 +123,7 @@
 
 @pytest.mark.parametrize(("word", "known"), CAUSES)
 def test_each_cause_of_an_exit_is_known(word: str, known: str) -> None:
-    heartbeat = report_of("exited", word)
+    heartbeat = heartbeat_with("exited", word)
     assert heartbeat.tasks[0].cause == known
     assert not heartbeats.unknown_words(heartbeat)
     assert len(heartbeats.CAUSES) == 8
@@ -158,7 +158,7 @@
     "yards": ["north", "south"], "gpus": 2.0, "local_gb": 100.0, "pull_gb_per_s": 1.5,
     "ready_s": 45.0,
 }  # fmt: skip
-KIND = MachineType(
+MACHINE_TYPE = MachineType(
     name=TypeName("small"),
     cpus=8.0,
     gpus=2.0,
@@ -186,14 +186,16 @@
 
 
 def test_machine_types_are_read() -> None:
-    assert cloud.decode_machine_types(pack({"rigs": [RIG]})) == [KIND]
+    assert cloud.decode_machine_types(pack({"rigs": [RIG]})) == [MACHINE_TYPE]
 
 
 def test_the_optional_fields_of_a_machine_type_have_defaults() -> None:
     optional = ("gpus", "local_gb", "pull_gb_per_s", "ready_s")
     body = {name: RIG[name] for name in RIG if name not in optional}
-    kind = dataclasses.replace(KIND, gpus=0.0, cache_gb=0.0, fetch_gb_per_s=1.0, boot_s=60.0)
-    assert cloud.decode_machine_types(pack({"rigs": [body]})) == [kind]
+    machine_type = dataclasses.replace(
+        MACHINE_TYPE, gpus=0.0, cache_gb=0.0, fetch_gb_per_s=1.0, boot_s=60.0
+    )
+    assert cloud.decode_machine_types(pack({"rigs": [body]})) == [machine_type]
 
 
 def test_the_machine_list_is_read() -> None:
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -342,15 +342,15 @@
 
 
 @seeds
-@pytest.mark.parametrize("trouble", ["unreached", "unheard"])
+@pytest.mark.parametrize("cut", ["both directions", "replies only"])
 def test_a_leader_ends_while_machines_with_long_tasks_are_cut_off_from_the_next(
-    seed: int, trouble: str
+    seed: int, cut: str
 ) -> None:
     world = world_of(seed, jobs=2, estimate_s=200.0)
     names = busy(world)[: 1 + seed % 2]
     for name in names:
         for member in MEMBERS:
-            if trouble == "unreached":
+            if cut == "both directions":
                 world.network.cut(name, member, "hold")
             else:
                 world.network.one_way_cuts.add((member, name))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,7 +23,7 @@
     found = next_request(make_fleet(), jobs)
     assert found is not None
     assert found.pool.spot
-    size = next(kind.cpus for kind in TYPES if kind.name == found.pool.type)
+    size = next(machine_type.cpus for machine_type in TYPES if machine_type.name == found.pool.type)
     assert found.count * size >= 20
 
 
@@ -44,10 +44,10 @@
     assert next_request(made, [job_waiting_for(TARGET_S - 2.0)], busy) is None
     served = next_request(made, [job_waiting_for(120.0)], busy)
     assert served is not None
-    assert served.overdue, "all work starts in the end, at any price"
+    assert served.overdue, "overdue work is started at any price"
     on_demand = next_request(made, [job_waiting_for(TARGET_S - 2.0, spot=False)], busy)
     assert on_demand is not None
-    assert not on_demand.pool.spot, "it has no spot ones to wait for"
+    assert not on_demand.pool.spot, "it cannot use spot machines"
 
 
 def test_tasks_count_on_capacity_that_is_free_or_boots() -> None:
@@ -63,7 +63,7 @@
     assert next_request(make_fleet(), work, [late]) is not None
     late.listed_as_running = True
     assert next_request(make_fleet(), work, [late]) is None, (
-        "it is up, only not heard from in this term"
+        "it is up, but has sent no heartbeat in this term"
     )
 
 
@@ -71,9 +71,9 @@
     made = make_fleet()
     spot = Machine(MachineId("m-0"), TYPES[1], Zone("a"), True)
     expensive = Machine(MachineId("m-1"), TYPES[1], Zone("a"), False)
-    for one in (spot, expensive):
-        one.has_sent_heartbeat = True
-        one.idle_since = Seconds(NOW - 10.0)
+    for machine in (spot, expensive):
+        machine.has_sent_heartbeat = True
+        machine.idle_since = Seconds(NOW - 10.0)
     for at in range(100):
         made.targets.demand.sample(8.0, Seconds(NOW - 100.0 + at))
     assert made.scale_in_candidates([spot, expensive], TEAMS, NOW) == [expensive]
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Who takes users' requests when the state service does not serve everybody."""
+"""Which controllers take users' requests when the store does not serve all of them."""
 
 from __future__ import annotations
 
@@ -44,13 +44,13 @@
         health.receive_ping("c2", Ping(served=False))
     assert health.is_cut_off()
     clock.now += 3.0
-    assert not health.is_cut_off(), "nobody has said for a while that it is served"
+    assert not health.is_cut_off(), "no peer has reported for a while that the store serves it"
 
 
 def test_a_store_outage_for_all_leaves_every_controller_ready(clock: Time) -> None:
     since = clock.now
     health = Health(Store(clock, since))
-    # The other finds out a second later than we do.
+    # The peer finds out a second later than this controller.
     clock.now += 0.9
     health.receive_ping("c1", Ping(served=True))
     for _ in range(10):
@@ -71,14 +71,14 @@
     for _ in range(8):
         health.receive_ping("c1", Ping(served=False))
         clock.now += 1.0
-    assert not health.is_cut_off(), "one other is enough"
+    assert not health.is_cut_off(), "one peer is enough"
     clock.now += 8.0
     assert health.is_cut_off()
     health.receive_ping("c1", Ping(served=False))
     assert not health.is_cut_off()
     alone = Health(Store(clock, since), has_peers=False)
     clock.now += 100.0
-    assert not alone.is_cut_off(), "there is nobody else to send them to"
+    assert not alone.is_cut_off(), "there is no peer to send users to"
 
 
 def test_a_controller_with_store_but_without_peers_takes_requests(clock: Time) -> None:
--- a/tests/test_interruptions.py
+++ b/tests/test_interruptions.py
@@ -26,7 +26,7 @@
 
 
 def observed(per_hour: float, machines: int = 100, seconds: int = 600) -> InterruptionStats:
-    """What so many machines show that are reclaimed so often."""
+    """The statistics of that many machines with that rate of interruptions."""
     stats = InterruptionStats()
     expected = 0.0
     for _ in range(seconds):
@@ -39,20 +39,22 @@
 
 
 def at_risk(stats: InterruptionStats, age: float = 0.0, done: int = 0, **changes: Any) -> bool:
-    # Jobs of this class are to be done within 60 s.
-    one = Job(job("job-1", **{"tasks": 10, **changes}), Version(1), Seconds(NOW - age))
-    one.done_count = done
-    return stats.at_risk(one, Scorer(deployment("c0"), RunTimes()), NOW)
+    # The completion target of this class is 60 s.
+    one_job = Job(job("job-1", **{"tasks": 10, **changes}), Version(1), Seconds(NOW - age))
+    one_job.done_count = done
+    return stats.at_risk(one_job, Scorer(deployment("c0"), RunTimes()), NOW)
 
 
 def test_work_is_at_risk_if_a_loss_is_likely_and_would_make_it_late() -> None:
     often, seldom = observed(per_hour=6.0), observed(per_hour=0.2)
     assert at_risk(often, estimate_s=45.0)
-    assert not at_risk(seldom, estimate_s=45.0), "hardly any is lost"
-    assert not at_risk(often, estimate_s=20.0, tasks=40), "it can be repeated in time"
-    assert at_risk(often, estimate_s=6.0, age=50.0, tasks=40), "not any more"
-    assert not at_risk(often, estimate_s=90.0), "it is late in any case"
-    assert not at_risk(often, estimate_s=45.0, done=9), "one task is left"
+    assert not at_risk(seldom, estimate_s=45.0), "hardly any machine is lost"
+    assert not at_risk(often, estimate_s=20.0, tasks=40), "a lost task can be repeated in time"
+    assert at_risk(often, estimate_s=6.0, age=50.0, tasks=40), (
+        "it cannot be repeated in time any more"
+    )
+    assert not at_risk(often, estimate_s=90.0), "the job is late in any case"
+    assert not at_risk(often, estimate_s=45.0, done=9), "only one task is left"
     assert not at_risk(often, estimate_s=45.0, spot=False)
     assert not at_risk(often, estimate_s=45.0, checkpoint_s=10.0, save_s=1.0)
 
@@ -72,11 +74,11 @@
         for spot in (True, False)
     ]
     for at_risk, expected in ((True, "m-on-demand"), (False, "m-spot")):
-        one = Job(job("job-1", tasks=1), Version(1), NOW)
-        one.at_risk = at_risk
+        one_job = Job(job("job-1", tasks=1), Version(1), NOW)
+        one_job.at_risk = at_risk
         scorer = Scorer(deployment("c0"), RunTimes())
         planned = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1)).plan(
-            [one], machines, 9
+            [one_job], machines, 9
         )
         assert [choice.machine for choice in planned] == [expected]
 
@@ -94,14 +96,14 @@
         return made.next_scale_out([], spot, TEAMS, use, Seconds(at))
 
     for second in range(100):
-        # What comes and goes is worth no machine that costs several times as much.
+        # Short peaks are not worth a machine that costs several times as much.
         assert request(NOW + second, 64.0 if second % 4 == 3 else 0.0) is None
     found = [request(NOW + 300.0 + second, 32.0) for second in range(10)]
-    assert all(one is not None and not one.pool.spot for one in found)
+    assert all(request is not None and not request.pool.spot for request in found)
     own = [Machine(MachineId(f"o-{n}"), TYPES[1], Zone("a"), False) for n in range(5)]
-    for one in own:
-        one.has_sent_heartbeat = True
-        one.created_at = one.idle_since = Seconds(1.0)
+    for machine in own:
+        machine.has_sent_heartbeat = True
+        machine.created_at = machine.idle_since = Seconds(1.0)
     made.targets.demand = Demand()
     made.targets.demand.sample(0.0, Seconds(NOW + 310.0))
     assert len(made.scale_in_candidates(own, TEAMS, Seconds(NOW + 310.0))) == 1
--- a/tests/test_isolated.py
+++ b/tests/test_isolated.py
@@ -120,7 +120,7 @@
                 busy.network.cut(former, member, "reset")
             busy.report_unreachable(member, former)
     busy.clock.advance(6.0)
-    assert token_of(busy, leader_of(busy)) > term, "another term has begun"
+    assert token_of(busy, leader_of(busy)) > term, "there is another term"
     assert busy.started == started, "running tasks continue"
     assert running(busy, "job-long") == 3
     busy.users.cancel("job-long")
--- a/tests/test_pacer.py
+++ b/tests/test_pacer.py
@@ -8,7 +8,7 @@
 
 
 def test_what_is_spent_is_not_there_again_at_once() -> None:
-    # At this rate nothing to speak of comes back while the test runs.
+    # At this rate practically nothing is refilled while the test runs.
     pacer = Pacer(1e-6)
     assert pacer.try_take(1.0)
     assert not pacer.try_take(1.0)
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -1,4 +1,4 @@
-"""Work that is stopped for more urgent work, and work that only uses what others leave idle."""
+"""Preemption for more urgent work, and backfill that only uses idle capacity."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Cluster:
-    """Machines of 8 CPUs and what runs on them."""
+    """Machines of 8 CPUs, and attempts that run on them."""
 
     def __init__(self, machines: int) -> None:
         self.cluster = ClusterState()
@@ -41,9 +41,9 @@
         self.machines = [make_machine(f"m-{number}") for number in range(machines)]
 
     def run(self, ref: str, on: Machine, ran_s: float = 100.0, **changes: Any) -> list[Allocation]:
-        """All tasks of a new job run there."""
-        given: dict[str, Any] = {"priority": Priority.LOW, "tasks": 2, "cpus": 4.0}
-        running = Job(job(ref, **{**given, **changes}), Version(1), Seconds(0.0))
+        """Places all tasks of a new job on the machine."""
+        fields: dict[str, Any] = {"priority": Priority.LOW, "tasks": 2, "cpus": 4.0}
+        running = Job(job(ref, **{**fields, **changes}), Version(1), Seconds(0.0))
         self.jobs[running.ref] = running
         allocations = []
         for _ in range(running.spec.tasks):
@@ -60,18 +60,18 @@
 
 
 def urgent(tasks: int = 1, cpus: float = 4.0, **changes: Any) -> Job:
-    given: dict[str, Any] = {"priority": Priority.HIGH, "team": Team("blue")}
-    return make_job("job-u", tasks=tasks, cpus=cpus, **{**given, **changes})
+    fields: dict[str, Any] = {"priority": Priority.HIGH, "team": Team("blue")}
+    return make_job("job-u", tasks=tasks, cpus=cpus, **{**fields, **changes})
 
 
 def test_no_more_is_preempted_than_the_more_urgent_work_needs() -> None:
     # The operators' guests held 3,000 of 5,500 CPUs for minutes while all other work waited.
     cluster = Cluster(2)
-    for number, one in enumerate(cluster.machines):
-        cluster.run(f"job-{number}", one)
+    for number, machine in enumerate(cluster.machines):
+        cluster.run(f"job-{number}", machine)
     assert len(cluster.preempt(urgent(tasks=3))) == 3
     assert len(cluster.preempt(urgent(tasks=1, cpus=8.0))) == 2
-    assert len(cluster.preempt(urgent(tasks=9))) == 4, "what there is"
+    assert len(cluster.preempt(urgent(tasks=9))) == 4, "all that can be preempted"
 
 
 def test_capacity_that_is_being_freed_is_counted() -> None:
@@ -101,15 +101,15 @@
     assert len(cluster.preempt(equal, teams=teams)) == 1
     assert cluster.preempt(urgent(priority=Priority.NORMAL, team=GUEST.name), teams=teams) == []
     cluster.cluster.team_cpus[Team("blue")] = TEAMS[Team("blue")].cpus
-    assert cluster.preempt(equal, teams=teams) == [], "its team has its guarantee"
+    assert cluster.preempt(equal, teams=teams) == [], "its team has its guaranteed CPUs"
 
 
 def test_the_attempt_with_least_to_lose_is_preempted() -> None:
     cluster = Cluster(1)
-    one = cluster.machines[0]
-    cluster.run("job-0", one, ran_s=50.0, tasks=1)
-    (saves,) = cluster.run("job-1", one, ran_s=90.0, tasks=1, checkpoint_s=20.0, save_s=2.0)
-    assert cluster.preempt(urgent()) == [Victim(one, saves)]
+    machine = cluster.machines[0]
+    cluster.run("job-0", machine, ran_s=50.0, tasks=1)
+    (saves,) = cluster.run("job-1", machine, ran_s=90.0, tasks=1, checkpoint_s=20.0, save_s=2.0)
+    assert cluster.preempt(urgent()) == [Victim(machine, saves)]
 
 
 def test_nothing_is_preempted_for_work_that_could_not_use_the_capacity() -> None:
@@ -118,40 +118,45 @@
     failing = urgent()
     failing.failed_on = {MachineId("m-8"), MachineId("m-9")}
     assert cluster.preempt(failing) == [], "it fails wherever it is tried"
-    assert cluster.preempt(urgent(spot=False)) == [], "the machine may be taken back"
+    assert cluster.preempt(urgent(spot=False)) == [], "the cloud may reclaim the machine"
     cluster.cluster.team_cpus[Team("blue")] = TEAMS[Team("blue")].cpus_max
-    assert cluster.preempt(urgent()) == [], "its team is at its limit"
+    assert cluster.preempt(urgent()) == [], "its team is at its quota"
 
 
 def test_the_only_task_of_a_job_is_left_until_its_start_counts() -> None:
     cluster = Cluster(1)
-    one = cluster.machines[0]
-    cluster.run("job-0", one, ran_s=COUNTED_START_S - 1.0, tasks=1)
+    machine = cluster.machines[0]
+    cluster.run("job-0", machine, ran_s=COUNTED_START_S - 1.0, tasks=1)
     assert cluster.preempt(urgent(cpus=8.0)) == []
-    (allocation,) = one.allocations.values()
+    (allocation,) = machine.allocations.values()
     allocation.running_since = Seconds(NOW - COUNTED_START_S - 1.0)
-    assert cluster.preempt(urgent(cpus=8.0)) == [Victim(one, allocation)]
+    assert cluster.preempt(urgent(cpus=8.0)) == [Victim(machine, allocation)]
 
 
 def test_a_task_whose_start_is_in_flight_is_not_preempted() -> None:
-    # That it is gone can only be told by a higher token, which all machines would have to hear.
+    # Only a higher fencing token, which all machines would have to see, proves that it has ended.
     cluster = Cluster(1)
-    one = cluster.machines[0]
-    first, second = cluster.run("job-0", one)
+    machine = cluster.machines[0]
+    first, second = cluster.run("job-0", machine)
     first.start_sent = second.start_sent = second.in_last_heartbeat = True
-    assert cluster.preempt(urgent(tasks=2)) == [Victim(one, second)]
+    assert cluster.preempt(urgent(tasks=2)) == [Victim(machine, second)]
 
 
 def test_a_task_that_ended_meanwhile_takes_no_capacity() -> None:
     cluster = Cluster(1)
-    one = cluster.machines[0]
-    for allocation in cluster.run("job-0", one):
-        cluster.cluster.remove(one, allocation)
+    machine = cluster.machines[0]
+    for allocation in cluster.run("job-0", machine):
+        cluster.cluster.remove(machine, allocation)
     assert list(cluster.cluster.machines_by_team()) == []
-    stray = Allocation(
-        TaskId(JobRef("job-9"), 0), Attempt(1), job("job-9"), one.id, one.zone, AgentEpoch(1)
+    orphan = Allocation(
+        TaskId(JobRef("job-9"), 0),
+        Attempt(1),
+        job("job-9"),
+        machine.id,
+        machine.zone,
+        AgentEpoch(1),
     )
-    cluster.cluster.remove(one, stray)
+    cluster.cluster.remove(machine, orphan)
     assert list(cluster.cluster.machines_by_team()) == []
 
 
@@ -172,7 +177,7 @@
 def test_backfill_takes_what_all_others_leave() -> None:
     backfill = make_job("job-b", team=Team("blue"), tasks=4, priority=Priority.LOW)
     backfill.backfill = True
-    # Long overdue, so that it is worth less than backfill that just came.
+    # Long overdue, so that its value is lower than that of new backfill.
     late = make_job("job-l", team=Team("red"), tasks=4)
     late.submitted = Seconds(NOW - 99.0)
     late.first_untried = 1
@@ -180,7 +185,7 @@
     assert chosen == ["job-l", "job-l", "job-l", "job-b"]
     backfill.submitted = Seconds(NOW - 101.0)
     chosen = [choice.job for choice in plan_cycle([backfill, late], [make_machine("m-0")])]
-    assert chosen[0] == "job-b", "it has not begun for so long that it begins next"
+    assert chosen[0] == "job-b", "it has waited for so long that it starts next"
 
 
 def test_backfill_that_has_started_rents_no_expensive_machine() -> None:
@@ -188,7 +193,7 @@
     refuse_spot(made)
     backfill = job_waiting_for(120.0, tasks=5)
     backfill.backfill = True
-    assert next_request(made, [backfill], full_machines(10)) is not None, "all of it begins"
+    assert next_request(made, [backfill], full_machines(10)) is not None, "all of its tasks start"
     backfill.place(MachineId("m-0"), AgentEpoch(1))
     assert next_request(made, [backfill], full_machines(10)) is None
 
@@ -207,14 +212,14 @@
 
 
 def test_an_expensive_machine_used_by_backfill_alone_is_returned() -> None:
-    # After the guests' last urgent neighbours had ended, half empty on-demand machines stayed.
+    # Half empty on-demand machines once stayed after the urgent work on them had ended.
     teams = {**TEAMS, GUEST.name: GUEST}
     made = make_fleet()
     cluster = Cluster(1)
     spot, expensive = cluster.machines[0], make_machine("m-1", spot=False)
-    for one in (spot, expensive):
-        one.has_sent_heartbeat = True
-        cluster.run(f"job-{one.id}", one, team=GUEST.name)
+    for machine in (spot, expensive):
+        machine.has_sent_heartbeat = True
+        cluster.run(f"job-{machine.id}", machine, team=GUEST.name)
     assert made.scale_in_candidates([spot, expensive], teams, NOW) == [expensive]
     cluster.run("job-x", expensive, team=Team("blue"))
     assert made.scale_in_candidates([spot, expensive], teams, NOW) == []
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -39,9 +39,11 @@
 MACHINE = MachineId("m-000001")
 
 
-def place(records: PlacementRecords, one: Job) -> tuple[int, Attempt]:
-    task, attempt = one.place(MACHINE, AgentEpoch(2))
-    records.record_for(one, one.chunk_of(task.number)).mark_changed(one.spec.priority, NOW)
+def place(records: PlacementRecords, placed_job: Job) -> tuple[int, Attempt]:
+    task, attempt = placed_job.place(MACHINE, AgentEpoch(2))
+    records.record_for(placed_job, placed_job.chunk_of(task.number)).mark_changed(
+        placed_job.spec.priority, NOW
+    )
     return task.number, attempt
 
 
@@ -56,34 +58,38 @@
 def test_tasks_survive_a_failover(sizes: list[int], data: st.DataObject) -> None:
     before = {JobRef(f"job-{n}"): waiting(f"job-{n}", tasks=size) for n, size in enumerate(sizes)}
     records = PlacementRecords(VALUE_KB, TXN_OPS, True)
-    for one in before.values():
-        for _ in range(data.draw(st.integers(0, min(one.spec.tasks, 40)))):
-            number, attempt = place(records, one)
+    for placed_job in before.values():
+        for _ in range(data.draw(st.integers(0, min(placed_job.spec.tasks, 40)))):
+            number, attempt = place(records, placed_job)
             fate = data.draw(st.sampled_from(("runs", "done", "lost")))
             if fate == "done":
-                one.finish(number)
+                placed_job.finish(number)
             elif fate == "lost":
-                one.requeue(number, None)
-            assert one.is_current(number, attempt, MACHINE) == (fate == "runs")
+                placed_job.requeue(number, None)
+            assert placed_job.is_current(number, attempt, MACHINE) == (fate == "runs")
     items = stored(records)
     ended = data.draw(st.sampled_from(sorted(before)))
-    after = {ref: Job(one.spec, Version(1), NOW) for ref, one in before.items() if ref != ended}
+    after = {
+        ref: Job(placed_job.spec, Version(1), NOW)
+        for ref, placed_job in before.items()
+        if ref != ended
+    }
     again = PlacementRecords(VALUE_KB, TXN_OPS, True)
     again.load(items, after)
-    for ref, one in after.items():
-        one.finish_loading()
+    for ref, placed_job in after.items():
+        placed_job.finish_loading()
         old = before[ref]
-        assert one.done == old.done
-        assert one.done_count == old.done_count
-        assert one.placed_count() == old.placed_count()
-        assert one.waiting_count() == old.waiting_count()
+        assert placed_job.done == old.done
+        assert placed_job.done_count == old.done_count
+        assert placed_job.placed_count() == old.placed_count()
+        assert placed_job.waiting_count() == old.waiting_count()
         for number, chunk in old.chunks.items():
             assert {i: t for i, t in chunk.attempts.items() if i in chunk.placed} == {
-                i: p.attempt for i, p in one.chunks[number].placed.items()
+                i: p.attempt for i, p in placed_job.chunks[number].placed.items()
             }
             # An attempt's number is never given twice, in whatever term.
             for index, attempt in chunk.attempts.items():
-                assert one.chunks[number].attempts.get(index) == attempt or old.done[index]
+                assert placed_job.chunks[number].attempts.get(index) == attempt or old.done[index]
     assert all(ref != ended for r in again for ref, _ in r.entries)
 
 
@@ -93,12 +99,12 @@
 def test_no_value_and_no_transaction_is_too_large(jobs: list[tuple[int, int]]) -> None:
     records = PlacementRecords(VALUE_KB, TXN_OPS, True)
     for n, (tasks, placed) in enumerate(jobs):
-        one = waiting(f"job-{n:0>60}", tasks=tasks)
+        placed_job = waiting(f"job-{n:0>60}", tasks=tasks)
         for index in range(min(tasks, 4 * placed)):
-            place(records, one)
+            place(records, placed_job)
             if index % 2:
                 # Every second task done: the longest form of what is done.
-                one.finish(index)
+                placed_job.finish(index)
     for record in records:
         assert len(msgspec.json.encode(record.value())) <= VALUE_KB * 1024
     batch = Batch(7, TXN_OPS)
@@ -131,10 +137,10 @@
 
 def test_a_record_without_jobs_is_to_be_removed_and_takes_no_more() -> None:
     records = PlacementRecords(VALUE_KB, TXN_OPS, True)
-    one = waiting("job-1")
-    place(records, one)
+    placed_job = waiting("job-1")
+    place(records, placed_job)
     (record,) = records
-    records.remove_job(one)
+    records.remove_job(placed_job)
     assert records.deferrable() == [record]
     assert record.size == 0
     record.removal_pending = True
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -41,21 +41,27 @@
 
 @pytest.mark.parametrize("cause", [None, STOPPED, GANG_MEMBER_LOST, INCOMPLETE])
 def test_a_task_that_is_not_to_blame_is_placed_again_at_once(cause: str | None) -> None:
-    one = job_of(1)
+    failing_job = job_of(1)
 
-    assert retries_of(one).not_before(machine_of(0), one, 0, cause) is None
+    assert retries_of(failing_job).not_before(machine_of(0), failing_job, 0, cause) is None
 
 
 def test_a_task_that_ended_for_an_unknown_cause_pauses() -> None:
-    one = job_of(1)
+    failing_job = job_of(1)
 
-    assert retries_of(one).not_before(machine_of(0), one, 0, "odd") == TERM_BEGAN + ENDED_PAUSE_S
+    assert (
+        retries_of(failing_job).not_before(machine_of(0), failing_job, 0, "odd")
+        == TERM_BEGAN + ENDED_PAUSE_S
+    )
 
 
 def test_a_refused_task_pauses_briefly_and_the_full_machine_for_longer() -> None:
-    one, machine = job_of(1), machine_of(0)
+    failing_job, machine = job_of(1), machine_of(0)
 
-    assert retries_of(one).not_before(machine, one, 0, NO_CAPACITY) == TERM_BEGAN + REFUSED_PAUSE_S
+    assert (
+        retries_of(failing_job).not_before(machine, failing_job, 0, NO_CAPACITY)
+        == TERM_BEGAN + REFUSED_PAUSE_S
+    )
     assert machine.placement_paused_until == TERM_BEGAN + FULL_PAUSE_S
 
 
@@ -67,11 +73,11 @@
 
 
 def test_pauses_double_with_each_failure_up_to_a_limit() -> None:
-    one = job_of(1)
-    retries = retries_of(one)
+    failing_job = job_of(1)
+    retries = retries_of(failing_job)
 
     pauses = [
-        (retries.not_before(machine_of(number), one, 0, ERROR) or TERM_BEGAN) - TERM_BEGAN
+        (retries.not_before(machine_of(number), failing_job, 0, ERROR) or TERM_BEGAN) - TERM_BEGAN
         for number in range(9)
     ]
 
@@ -79,11 +85,11 @@
 
 
 def test_a_machine_is_quarantined_once_two_jobs_failed_on_it() -> None:
-    one, other, machine = job_of(1), job_of(2), machine_of(0)
-    retries = retries_of(one, other)
+    failing_job, other, machine = job_of(1), job_of(2), machine_of(0)
+    retries = retries_of(failing_job, other)
 
-    retries.not_before(machine, one, 0, ERROR)
-    retries.not_before(machine, one, 1, ERROR)
+    retries.not_before(machine, failing_job, 0, ERROR)
+    retries.not_before(machine, failing_job, 1, ERROR)
     assert not machine.quarantined
     retries.not_before(machine, other, 0, ERROR)
     assert machine.quarantined
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,4 +1,4 @@
-"""With thousands of machines: how often each is looked at, whom we address, whose sockets."""
+"""With thousands of machines: how often each is looked at, and who gets the sockets."""
 
 from __future__ import annotations
 
@@ -61,16 +61,16 @@
     return jobs, machines
 
 
-def counted(monkeypatch: pytest.MonkeyPatch, owner: type, name: str) -> list[int]:
+def counted(monkeypatch: pytest.MonkeyPatch, cls: type, name: str) -> list[int]:
     """Counts the calls of a method."""
     calls = [0]
-    method = getattr(owner, name)
+    method = getattr(cls, name)
 
-    def count(*given: Any) -> Any:
+    def count(*arguments: Any) -> Any:
         calls[0] += 1
-        return method(*given)
+        return method(*arguments)
 
-    monkeypatch.setattr(owner, name, count)
+    monkeypatch.setattr(cls, name, count)
     return calls
 
 
@@ -84,8 +84,8 @@
     planned = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1)).plan(
         jobs, machines, 48
     )
-    assert len(planned) >= 30, "a sample of full machines would find a third of them"
-    assert {choice.machine for choice in planned} <= {m.id for m in machines[:WITH_ROOM]}
+    assert len(planned) >= 30, "a sample that includes full machines would find a third of them"
+    assert {assignment.machine for assignment in planned} <= {m.id for m in machines[:WITH_ROOM]}
     assert ranked[0] <= 2 * JOBS * WITH_ROOM
     assert allowed[0] <= 3 * JOBS * WITH_ROOM
 
@@ -107,7 +107,7 @@
 def test_a_scheduling_cycle_looks_at_a_sample_of_a_thousand_jobs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # hunt-d090-3: a swarm of 800 jobs of one task kept the leader busy for longer than it had.
+    # hunt-d090-3: cycles for 800 jobs of one task took the leader longer than their interval.
     jobs = [
         Job(job(f"job-{n}", tasks=1, cpus=4.0), Version(1), Seconds(NOW - 50.0))
         for n in range(1_000)
@@ -125,8 +125,8 @@
 def test_scaling_out_prices_a_sample_of_a_thousand_jobs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # hunt-d090-3: each second 800 jobs were compared with 16 machine types in turn; one leader
-    # after the other lost its lease under that.
+    # hunt-d090-3: each second 800 jobs were compared with 16 machine types in turn; under that
+    # load several leaders lost their leases.
     jobs = [
         Job(job(f"job-{n}", tasks=1, cpus=4.0), Version(1), Seconds(NOW - 50.0))
         for n in range(1_000)
@@ -141,7 +141,7 @@
 
 
 def test_jobs_that_fit_nowhere_leave_the_scheduling_cycle_to_others() -> None:
-    large = [
+    leader_of_machines = [
         Job(job(f"job-l{n}", tasks=1, cpus=8.0, priority=Priority.HIGH), Version(1), NOW)
         for n in range(300)
     ]
@@ -150,27 +150,25 @@
     machine.used_cpus = 4.0
     scorer = Scorer(deployment("c0"), RunTimes())
     planned = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1)).plan(
-        large + small, [machine], 48
+        leader_of_machines + small, [machine], 48
     )
     assert len(planned) == 4
 
 
 @given(st.integers(100, 100_000), st.integers(0, 8))
-def test_the_sockets_suffice_for_all_that_may_be_open_at_once(most: int, peers: int) -> None:
-    sockets = SocketBudget.divide(most, peers)
+def test_the_sockets_suffice_for_all_that_may_be_open_at_once(max_open: int, peers: int) -> None:
+    sockets = SocketBudget.divide(max_open, peers)
     ours = sockets.store + sockets.cloud + 2 * sockets.workers
-    assert ours + 3 * peers + 2 + sockets.clients <= most
-    assert sockets.clients >= 0.6 * most - 3 * peers
+    assert ours + 3 * peers + 2 + sockets.clients <= max_open
+    assert sockets.clients >= 0.6 * max_open - 3 * peers
     assert min(sockets) >= 2
 
 
-# Four thousand machines, and half as many again
-
 SIZES = pytest.mark.parametrize("machines", [4_000, 6_000])
 
 
-def large(machines: int) -> Term:
-    """A leader that has heard of so many machines."""
+def leader_of_machines(machines: int) -> Term:
+    """A leader with that many machines, each of which has sent a heartbeat."""
     term = Term()
     for number in range(machines):
         term.receive_heartbeat((1, 1), machine=f"m-{number:06d}")
@@ -181,11 +179,11 @@
 def test_what_is_looked_at_in_a_second_does_not_grow_with_machines(
     monkeypatch: pytest.MonkeyPatch, machines: int
 ) -> None:
-    # A tick of 4,000 machines took a tenth of what it may take at 43% of a core, ten times a
-    # second, and a round twice that, up to seven times a second.
-    term = large(machines)
+    # With 4,000 machines a tick, ten times a second, took a tenth of what it may take at 43% of a
+    # core, and a scheduling cycle, up to seven times a second, took twice that.
+    term = leader_of_machines(machines)
     watched = counted(monkeypatch, MachineWatch, "watch")
-    rooms = counted(monkeypatch, Machines, "usable")
+    looked_at = counted(monkeypatch, Machines, "usable")
     for _ in range(60):
         term.step(0.1)
         for machine in term.leader.cluster.machines.values():
@@ -194,13 +192,13 @@
         term.leader.tick(term.now)
         term.leader.finish_step(term.now)
     assert 2 * machines <= watched[0] <= 6 * 1.3 * WATCHED_PER_S
-    assert rooms[0] <= 6 * 1.3 * PROMPT_MACHINES / 0.15
+    assert looked_at[0] <= 6 * 1.3 * PROMPT_MACHINES / 0.15
 
 
 @SIZES
 def test_a_shard_with_all_machines_fits_a_frame(machines: int) -> None:
     # A longer frame makes the receiver close the link, every five seconds.
-    term = large(machines)
+    term = leader_of_machines(machines)
     images = {f"image-{number:04d}": Seconds(0.0) for number in range(10)}
     for machine in term.leader.cluster.machines.values():
         machine.images.ready_at = dict(images)
@@ -213,11 +211,11 @@
         term.leader.jobs[ref] = waiting
     term.outbox.take()
     term.leader.scheduler.dispatch_shards(term.now)
-    parts = [effect for effect in term.outbox.take() if isinstance(effect, ShardRequest)]
-    assert len(parts) == 2
-    for part in parts:
+    requests = [effect for effect in term.outbox.take() if isinstance(effect, ShardRequest)]
+    assert len(requests) == 2
+    for request in requests:
         assert (
-            len(peer_wire.encode_frame(peer_wire.ShardRequest(part.view)))
+            len(peer_wire.encode_frame(peer_wire.ShardRequest(request.view)))
             <= peer_wire.MAX_FRAME_BYTES
         )
 
@@ -239,7 +237,7 @@
 def test_the_records_of_a_large_gang_are_looked_through_once_and_not_once_a_task(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    term = large(100)
+    term = leader_of_machines(100)
     spec = job("job-g", tasks=400, cpus=2.0, shape=Shape.GANG, team=Team("blue"))
     gang = term.leader.jobs[spec.ref] = Job(spec, Version(1), term.now)
     machines = list(term.leader.cluster.machines.values())
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -1,4 +1,4 @@
-"""Three real controllers on loopback, against the stand-ins: jobs run through a leader's end."""
+"""Three real controllers on loopback against the stand-ins: jobs survive crashes of the leader."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 PATIENCE_S = 90.0
-"""Only a limit for a run that hangs: nothing here is judged by how long it takes."""
+"""A limit for a run that hangs; the test does not judge how long anything takes."""
 
 SETTINGS = """
 member = "n-{n}"
@@ -61,8 +61,8 @@
         self.listen, binds = addresses[:3], addresses[3:]
         region = self.begin([sys.executable, "-m", "tests.standins", *self.listen], pipe=True)
         assert region.stdout is not None
-        ends = json.loads(region.stdout.readline())
-        self.cloud = ends["cloud"]
+        endpoints = json.loads(region.stdout.readline())
+        self.cloud = endpoints["cloud"]
         self.files = []
         for n in range(3):
             peers = "".join(
@@ -70,7 +70,9 @@
                 for m in range(3)
                 if m != n
             )
-            text = SETTINGS.format(n=n, listen=self.listen[n], bind=binds[n], peers=peers, **ends)
+            text = SETTINGS.format(
+                n=n, listen=self.listen[n], bind=binds[n], peers=peers, **endpoints
+            )
             self.files.append(folder / f"{n}.toml")
             self.files[n].write_text(text)
         self.processes = [self.start(n) for n in range(3)]
@@ -85,7 +87,7 @@
         return self.begin([sys.executable, "run.py", "--config", str(self.files[n])])
 
     def ask(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-        """Ask one controller after the other, as users behind a load balancer do."""
+        """Asks one controller after the other, as users behind a load balancer do."""
         deadline = time.monotonic() + PATIENCE_S
         while time.monotonic() < deadline:
             for address in self.listen:
@@ -108,9 +110,9 @@
 def free_addresses(count: int) -> list[str]:
     with ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
-        for one in sockets:
-            one.bind(("127.0.0.1", 0))
-        return [f"127.0.0.1:{one.getsockname()[1]}" for one in sockets]
+        for free_socket in sockets:
+            free_socket.bind(("127.0.0.1", 0))
+        return [f"127.0.0.1:{free_socket.getsockname()[1]}" for free_socket in sockets]
 
 
 def ask(address: str, method: str, path: str, body: Any = None) -> tuple[int, Any]:
@@ -141,7 +143,7 @@
     assert service.ask("POST", "/work", SUBMISSION)[0] in (200, 201)
     assert service.ask("POST", "/work", SUBMISSION)[0] == 200
     assert service.until("job-1", "done")["done"] == 6
-    # Whoever leads is among them: each is killed in turn while jobs run.
+    # Each controller, the leader among them, is killed in turn while jobs run.
     for n in range(3):
         ref = f"job-x{n}"
         assert service.ask("POST", "/work", {**SUBMISSION, "ref": ref, "picks": 8})[0] in (200, 201)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -92,9 +92,9 @@
     ]
     for sample, message in FRAMES_394DFE6.items():
         assert peers.decode_message(bytes.fromhex(sample)[4:]) == message
-    part = peers.decode_message(bytes.fromhex(PART_394DFE6)[4:])
-    assert isinstance(part, peers.ShardRequest)
-    assert part.view.jobs[0].spec == SPEC
+    shard_request = peers.decode_message(bytes.fromhex(PART_394DFE6)[4:])
+    assert isinstance(shard_request, peers.ShardRequest)
+    assert shard_request.view.jobs[0].spec == SPEC
     assert isinstance(
         peers.decode_message(bytes.fromhex(PROPOSED_394DFE6)[4:]), peers.ShardProposed
     )
@@ -130,8 +130,8 @@
     assert ended_record(3, cancelled=False) == {"tasks": 3, "aborted": False}
     for sample, message in FRAMES_394DFE6.items():
         assert peers.encode_frame(message).hex() == sample
-    part = peers.decode_message(bytes.fromhex(PART_394DFE6)[4:])
-    assert peers.encode_frame(part).hex() == PART_394DFE6
+    shard_request = peers.decode_message(bytes.fromhex(PART_394DFE6)[4:])
+    assert peers.encode_frame(shard_request).hex() == PART_394DFE6
     decommission_records, capacity = DecommissionRecords(SMALL_KB).with_capacity()
     assert decommission_records.put([MachineId("m-000009")]).value == {"machines": ["m-000009"]}
     assert capacity >= 50
@@ -171,25 +171,25 @@
     removable = small.take_rewritten()
     # Some records are rewritten, then the leader ends: the next finds both, and the later counts.
     written = data.draw(st.integers(0, len(list(small))))
-    part = stored(small, version=50)[:written]
+    rewritten = stored(small, version=50)[:written]
     for record in list(small)[:written]:
         assert len(msgspec.json.encode(record.value())) <= SMALL_KB * 1024
         small.mark_rewritten(list(record.entries.values()))
     removable += small.take_rewritten()
     kept = [item for item in items if item.key not in {key for key, _ in removable}]
-    changed = data.draw(st.booleans()) and bool(part)
+    changed = data.draw(st.booleans()) and bool(rewritten)
     if changed:
         # A task of a rewritten record is done since then.
         (job_of, chunk), *_ = next(iter(small)).entries.values()
         for index in list(chunk.placed):
             job_of.finish(index)
-        part[0] = stored(small, version=50)[0]
+        rewritten[0] = stored(small, version=50)[0]
     third = PlacementRecords(SMALL_KB, SMALL_OPS, cut=True)
     again = {
         ref: Job(one_job.spec, Version(1), NOW, third.chunk_length)
         for ref, one_job in before.items()
     }
-    third.load([*kept, *part], again)
+    third.load([*kept, *rewritten], again)
     for ref, one_job in again.items():
         one_job.finish_loading()
         assert state_of(one_job) == state_of(after[ref])
--- a/tests/test_user_requests.py
+++ b/tests/test_user_requests.py
@@ -1,4 +1,4 @@
-"""What a controller makes of submissions and questions, without the store."""
+"""How a controller answers submissions and queries; the test plays the store."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 def test_a_gang_over_its_teams_quota_is_rejected() -> None:
-    """Its array may run one task at a time; of an ensemble all must fit in the limit of 14."""
+    """A job array may run one task at a time; all tasks of a gang must fit the quota of 14 CPUs."""
     for shape, accepted in ((Shape.ARRAY, True), (Shape.GANG, False)):
         (effect,) = submit(tasks=8, cpus=2.0, shape=shape)
         assert isinstance(effect, Commit) == accepted
@@ -81,8 +81,8 @@
     assert only_response(outbox).body["status"] == "queued"
 
 
-def copied() -> tuple[UserRequests, Outbox]:
-    """One whose copy has job-1 and job-2, as of revision 5."""
+def requests_with_copy() -> tuple[UserRequests, Outbox]:
+    """A controller whose copy of the jobs has job-1 and job-2, as of revision 5."""
     requests, outbox = user_requests()
     requests.query(1, JobRef("job-1"))
     only(outbox, Scan).continuation(ScanResult([live("job-1", 4), live("job-2", 5)], Version(5)))
@@ -93,18 +93,18 @@
 
 
 def test_queries_share_a_read_that_began_after_them() -> None:
-    requests, outbox = copied()
+    requests, outbox = requests_with_copy()
     requests.query(2, JobRef("job-1"))
-    # Looks are not closer than the store's allowance admits.
+    # Reads are not more frequent than the store's allowance admits.
     pause = only(outbox, Delay)
     requests.query(3, JobRef("job-2"))
     pause.continuation()
-    look = only(outbox, Watch)
-    assert look.after == 5
-    assert look.block_s == 0.0
+    read_changes = only(outbox, Watch)
+    assert read_changes.after == 5
+    assert read_changes.block_s == 0.0
     requests.query(4, JobRef("job-2"))
-    assert outbox.take() == [], "it came after the look began"
-    look.continuation(WatchResult(Version(7), [live("job-1", 7, cancelled=True)]))
+    assert outbox.take() == [], "the query came after the read began"
+    read_changes.continuation(WatchResult(Version(7), [live("job-1", 7, cancelled=True)]))
     *answers, later = outbox.take()
     assert [a.body["status"] for a in answers if isinstance(a, Response) and a.body] == [
         "aborted",
@@ -113,12 +113,12 @@
     assert len(answers) == 2
     assert isinstance(later, Delay)
     later.continuation()
-    look = only(outbox, Watch)
-    assert look.after == 7
-    look.continuation(WatchResult(Version(9), [Item("live/job-2", None, Version(0))]))
+    read_changes = only(outbox, Watch)
+    assert read_changes.after == 7
+    read_changes.continuation(WatchResult(Version(9), [Item("live/job-2", None, Version(0))]))
     read = only(outbox, Read)
     assert read.key == "ended/job-2"
-    assert not read.for_user, "not from the allowance that questions about unknown jobs use up"
+    assert not read.for_user, "it is not taken from the allowance for queries of unknown jobs"
     read.continuation(
         ReadResult(Item("ended/job-2", {"tasks": 3, "aborted": False}, Version(9)), Version(9))
     )
@@ -128,7 +128,7 @@
 
 
 def test_a_failed_read_is_answered_at_once_and_an_outdated_copy_is_reloaded() -> None:
-    requests, outbox = copied()
+    requests, outbox = requests_with_copy()
     requests.query(2, JobRef("job-1"))
     only(outbox, Delay).continuation()
     only(outbox, Watch).continuation(Unanswered())
@@ -141,7 +141,7 @@
 
 
 def test_an_unknown_job_is_answered_with_404() -> None:
-    requests, outbox = copied()
+    requests, outbox = requests_with_copy()
     requests.query(2, JobRef("job-nobody"))
     only(outbox, Delay).continuation()
     only(outbox, Watch).continuation(WatchResult(Version(6), []))
--- a/tests/test_worker_client.py
+++ b/tests/test_worker_client.py
@@ -1,4 +1,4 @@
-"""Direct messages when sockets are short."""
+"""Direct commands when sockets are short."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def test_a_message_that_finds_no_socket_in_time_was_never_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Taken for one that may still arrive, its start would keep its place until the token rotates.
+    # If it counted as in flight, its start would keep its allocation until the next term.
     monkeypatch.setattr(worker_client, "SOCKET_TIMEOUT_S", 0.1)
 
     async def run() -> None:
--- a/tests/world/__init__.py
+++ b/tests/world/__init__.py
@@ -1,7 +1,7 @@
 """A small world under a simulated clock: store, cloud, workers, users and a network that fails.
 
-It holds three controller cores to every rule of the protocol, at the moment a rule could
-break, and knows nothing of how they decide.
+It checks three controller cores against every rule of the protocol, at the moment a rule could be
+broken, and knows nothing of how they decide.
 
 Modules: `world` has the state and the controllers' processes, `effects` carries out what they
 decide; `store_calls` and `worker_calls` are the calls over the `network`; `store`, `cloud`,
@@ -22,7 +22,8 @@
   late. `late_writes`: the same for all writes to the store. `duplicates`: the chance that a
   heartbeat or a direct command arrives once more later.
 
-The names of the rules in `tests/test_rules.py` are kept: the days that are drawn depend on them.
+The days that `tests/test_rules.py` draws depend on the source of its class `Rules`, names included:
+a change there draws other days.
 """
 
 from .scenario import (
