--- a/tests/standins.py
+++ b/tests/standins.py
@@ -15,7 +15,7 @@
 import msgspec
 from aiohttp import web
 
-REPORT_S = 0.3
+HEARTBEAT_INTERVAL_S = 0.3
 LEASE_S = 6.0
 
 
@@ -27,7 +27,7 @@
     return msgspec.msgpack.decode(await request.read())
 
 
-class StateService:
+class KeyValueStore:
     def __init__(self) -> None:
         self.revision = 0
         self.items: dict[str, tuple[Any, int, int | None]] = {}
@@ -121,14 +121,14 @@
         prefix, after = request.query["starts"], int(request.query["after"])
         deadline = asyncio.get_running_loop().time() + int(request.query["block_ms"]) / 1000.0
         while True:
-            watch_result = [
+            changes = [
                 {"delete": k, "stamp": r} if v is None else {"set": k, "data": v, "stamp": r}
                 for r, k, v in self.log
                 if r > after and k.startswith(prefix)
             ]
             left = deadline - asyncio.get_running_loop().time()
-            if watch_result or left <= 0:
-                return pack({"ledger_rev": self.revision, "news": watch_result})
+            if changes or left <= 0:
+                return pack({"ledger_rev": self.revision, "news": changes})
             try:
                 async with asyncio.timeout(left):
                     await self.changed.wait()
@@ -156,9 +156,11 @@
                 try:
                     async with (
                         asyncio.timeout(2.0),
-                        session.post(url, data=self.heartbeat()) as got,
+                        session.post(url, data=self.heartbeat()) as response,
                     ):
-                        answer = msgspec.msgpack.decode(await got.read()) if got.ok else None
+                        answer = (
+                            msgspec.msgpack.decode(await response.read()) if response.ok else None
+                        )
                 except (aiohttp.ClientError, OSError, TimeoutError):
                     answer = None
                 if answer is None:
@@ -168,7 +170,7 @@
                 if answer["baton"] >= self.token:
                     self.token = answer["baton"]
                     self.execute(answer["orders"])
-                await asyncio.sleep(REPORT_S)
+                await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     def heartbeat(self) -> bytes:
         self.sequence += 1
@@ -208,10 +210,10 @@
             elif order["verb"] == "start" and key not in self.tasks:
                 others = [t for (pick, _), t in self.tasks.items() if pick == order["pick"]]
                 if any(t["status"] != "exited" for t in others):
-                    self.region.broken.append(f"{order['pick']} twice on {self.name}")
+                    self.region.violations.append(f"{order['pick']} twice on {self.name}")
                 task = {"pick": order["pick"], "try": order["try"], "status": "running"}
                 self.tasks[key] = task
-                self.region.begin(order["pick"], self.name)
+                self.region.record_start(order["pick"], self.name)
                 asyncio.get_running_loop().call_later(0.5, self.finish, task)
 
     def finish(self, task: dict[str, Any]) -> None:
@@ -225,7 +227,7 @@
         self.workers: list[Worker] = []
         self.hires: dict[str, list[str]] = {}
         self.starts: dict[str, int] = {}
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.running: set[asyncio.Task[None]] = set()
 
     def routes(self) -> list[web.RouteDef]:
@@ -237,17 +239,17 @@
             web.get("/seen", self.seen),
         ]
 
-    def begin(self, task: str, worker: str) -> None:
+    def record_start(self, task: str, worker: str) -> None:
         self.starts[task] = self.starts.get(task, 0) + 1
         for other in self.workers:
             if other.name != worker and any(
                 pick == task and status["status"] == "running"
                 for (pick, _), status in other.tasks.items()
             ):
-                self.broken.append(f"{task} on {worker} and {other.name}")
+                self.violations.append(f"{task} on {worker} and {other.name}")
 
     async def seen(self, _: web.Request) -> web.Response:
-        return pack({"starts": self.starts, "broken": self.broken})
+        return pack({"starts": self.starts, "violations": self.violations})
 
     async def types(self, _: web.Request) -> web.Response:
         rig = {"sku": "c4", "cores": 4, "gpus": 0, "memory_gb": 16, "local_gb": 9, "price": 1.0,
@@ -289,7 +291,7 @@
 
 
 async def main(controllers: list[str]) -> None:
-    store, region = StateService(), Region(controllers)
+    store, region = KeyValueStore(), Region(controllers)
     state, cloud = web.Application(), web.Application()
     state.add_routes(store.routes())
     cloud.add_routes(region.routes())
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -159,5 +159,5 @@
     assert service.ask("POST", "/work", {**SUBMISSION, "ref": "job-c", "picks": 500})[0] == 200
     assert service.until("job-c", "aborted")
     seen = ask(service.cloud, "GET", "/seen")[1]
-    assert seen["broken"] == []
+    assert seen["violations"] == []
     assert {f"job-x{n}/{k}" for n in range(3) for k in range(8)} <= set(seen["starts"])
