--- a/src/crosscleat/core/capacity/unplaced_work.py
+++ b/src/crosscleat/core/capacity/unplaced_work.py
@@ -11,9 +11,9 @@
 from typing import NamedTuple
 
 from ..model.deployment import TeamLimits
-from ..model.ids import Team, Zone
+from ..model.ids import Team
 from ..model.quantities import ROUNDING
-from ..scheduling.free_capacity import FreeCapacity
+from ..scheduling.free_capacity import FreeCapacity, by_zone
 from ..scheduling.job_selection import fails_repeatedly
 from ..scheduling.quota import tasks_within_limit
 from ..state.jobs import Job
@@ -112,11 +112,7 @@
         """For a gang that must be in one zone: a zone that has capacity for all, if any has."""
         if not (job.is_gang and job.spec.one_zone):
             return self._candidates
-        zones: dict[Zone, list[FreeCapacity]] = {}
-        for free in self._candidates:
-            if _may_use(job, free):
-                zones.setdefault(free.machine.zone, []).append(free)
-        for found in zones.values():
+        for found in by_zone(free for free in self._candidates if _may_use(job, free)):
             if sum(free.count_fitting(job.spec) for free in found) >= count:
                 return found
         return []
--- a/src/crosscleat/core/scheduling/feasibility.py
+++ b/src/crosscleat/core/scheduling/feasibility.py
@@ -81,10 +81,11 @@
         self._cpus = dict(context.cluster.team_cpus)
         self._gpus = dict(context.cluster.team_gpus)
         self._zones: dict[JobRef, dict[Zone, int]] = {}
-        """How many tasks of each job that must be in one or several zones the cycle has placed."""
+        """Tasks that the cycle has placed, of jobs that must be in one zone or in several."""
         self._fetches: dict[tuple[MachineId, str], float] = {}
-        """Seconds until an image that the cycle makes a machine fetch is there."""
+        """Seconds until an image is on a machine, where a task of the cycle makes it fetch it."""
         self._taken: dict[JobRef, int] = {}
+        """Tasks that the cycle has placed, by job."""
         self.candidates = [FreeCapacity.of(machine) for machine in machines]
         self._free_cpus = 0.0
         for candidate in self.candidates:
