--- a/src/crosscleat/adapters/http_server.py
+++ b/src/crosscleat/adapters/http_server.py
@@ -13,7 +13,6 @@
 from ..core.model.effects import Response
 from ..core.model.ids import JobRef, is_job_ref
 from ..core.model.inputs import CancelJob, QueryJob, RejectJob, SubmitJob
-from ..core.model.job_spec import JobSpec
 from ..wire import users as wire
 from ..wire.workers import HeartbeatReply
 
@@ -140,12 +139,11 @@
         body = await _read_body(request)
         if body is None:
             return _closing(400)
-        parsed = wire.parse_submission(body)
-        if isinstance(parsed, JobSpec):
-            spec = parsed
-            return await self._answer(lambda number: SubmitJob(number, spec))
-        ref = parsed
-        return await self._answer(lambda number: RejectJob(number, ref, 400))
+        submission = wire.parse_submission(body)
+        if isinstance(submission, wire.MalformedSubmission):
+            ref = submission.ref
+            return await self._answer(lambda number: RejectJob(number, ref, 400))
+        return await self._answer(lambda number: SubmitJob(number, submission))
 
     async def _job(self, request: web.BaseRequest, method: str, name: str) -> web.Response:
         if method == "GET" and is_job_ref(name):
--- a/src/crosscleat/wire/users.py
+++ b/src/crosscleat/wire/users.py
@@ -84,16 +84,23 @@
 _any_decoder = msgspec.msgpack.Decoder()
 
 
-def parse_submission(body: bytes) -> JobSpec | JobRef | None:
-    """The job described; or, of a malformed body, the job's name if it can be made out."""
+class MalformedSubmission(msgspec.Struct, frozen=True):
+    """A body that describes no job, is too long, or has a number that is not finite."""
+
+    ref: JobRef | None
+    """The job's name, if that much is readable: a job of this name may exist already."""
+
+
+def parse_submission(body: bytes) -> JobSpec | MalformedSubmission:
+    """The job that the body of POST /work describes."""
     try:
         submission = _decoder.decode(body)
     except (msgspec.DecodeError, ValueError, RecursionError):
-        return _name_in(body)
+        return MalformedSubmission(_name_in(body))
     if not is_job_ref(submission.ref):
-        return None
+        return MalformedSubmission(None)
     if not _fits(body) or not all(map(math.isfinite, _amounts(submission))):
-        return JobRef(submission.ref)
+        return MalformedSubmission(JobRef(submission.ref))
     return submission.job()
 
 
--- a/tests/test_encoded_jobs.py
+++ b/tests/test_encoded_jobs.py
@@ -66,7 +66,8 @@
 )
 def test_every_other_field_of_a_submission_must_be_there(name: str) -> None:
     body = {other: SUBMISSION[other] for other in SUBMISSION if other != name}
-    assert users.parse_submission(pack(body)) == (None if name == "ref" else "job-000412")
+    ref = None if name == "ref" else JobRef("job-000412")
+    assert users.parse_submission(pack(body)) == users.MalformedSubmission(ref)
 
 
 FLAGS = [
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -92,7 +92,8 @@
     else:
         bad[name] = data.draw(st.sampled_from((None, "4", -1, math.inf, math.nan, -0.5)))
     parsed = users.parse_submission(pack(bad))
-    assert parsed == (None if name == "ref" else JobRef(work["ref"]))
+    ref = None if name == "ref" else JobRef(work["ref"])
+    assert parsed == users.MalformedSubmission(ref)
 
 
 @given(st.binary(max_size=200) | plain.map(pack))
@@ -113,6 +114,7 @@
             continue
 
 
+MALFORMED = users.MalformedSubmission(JobRef("job-1"))
 SMALLEST = {
     "ref": "job-1", "jobline": "a", "crew": "t", "shape": "array", "urgency": "low",
     "picks": 1, "cores": 1.0, "gpus": 0.0, "memory_gb": 1.0, "kit": "i", "image_gb": 0.0,
@@ -126,7 +128,7 @@
     assert isinstance(users.parse_submission(pack(work)), JobSpec)
     # 20,000 zeros take 20 kB packed and 40 kB as JSON; 40,000 take 80 kB.
     assert isinstance(users.parse_submission(pack({**work, "x": [0] * 20_000})), JobSpec)
-    assert users.parse_submission(pack({**work, "x": [0] * 40_000})) == "job-1"
+    assert users.parse_submission(pack({**work, "x": [0] * 40_000})) == MALFORMED
 
 
 @pytest.mark.parametrize("ref", ["", "job-", "task-1", "job-a/b", "job-ü", "job-a b"])
@@ -164,7 +166,7 @@
 def test_an_unknown_shape_is_malformed(shape: Any) -> None:
     """The bench's `real` submits a service, which is on no page, and expects it to run."""
     work = {**SMALLEST, "shape": shape}
-    assert users.parse_submission(pack(work)) == "job-1"
+    assert users.parse_submission(pack(work)) == MALFORMED
     ensemble = users.parse_submission(pack({**SMALLEST, "shape": "ensemble"}))
     assert isinstance(ensemble, JobSpec)
     assert ensemble.shape is Shape.GANG
