--- a/src/crosscleat/core/control/__init__.py
+++ b/src/crosscleat/core/control/__init__.py
@@ -9,7 +9,7 @@
 - Jobs: `job_changes` applies what users change, `writer` writes, `write_outcomes` acts on what has
   been written, `progress` counts for display.
 - Workers: `heartbeat_receiver` answers heartbeats, `heartbeat_processing` and `task_statuses` apply
-  them, `commands` makes out orders.
+  them, `orders` says what each is to do, `commands` sends it.
 - Contact: `response_check` finds workers that do not receive our answers, `liveness` those that
   are silent, `worker_contact` says whether workers reach this leader at all.
 - Attempts: `attempts` stops and ends them, `retries` decides when the next one may start,
--- a/src/crosscleat/core/control/assembly.py
+++ b/src/crosscleat/core/control/assembly.py
@@ -39,6 +39,7 @@
 from .job_changes import JobChanges
 from .leader import Leader
 from .liveness import Liveness
+from .orders import Orders
 from .pending_work import PendingWork
 from .placer import Placer
 from .progress import Progress
@@ -258,7 +259,8 @@
         evacuation,
         state.pending,
     )
-    commands = Commands(state.term, state.jobs, state.cluster, state.pending, processing)
+    orders = Orders(state.term, state.jobs, state.pending)
+    commands = Commands(state.term, state.cluster, orders, state.pending, processing)
     receiver = HeartbeatReceiver(
         state.term,
         parts.machines,
--- a/src/crosscleat/core/control/commands.py
+++ b/src/crosscleat/core/control/commands.py
@@ -11,10 +11,8 @@
 from typing import Protocol
 
 from ..election.term import LeadingTerm
-from ..model import heartbeats
 from ..model.heartbeats import Heartbeat
-from ..model.ids import NO_TOKEN, AgentEpoch, Attempt, JobRef, Seconds, TaskId, Token
-from ..model.job_spec import Shape
+from ..model.ids import NO_TOKEN, AgentEpoch, Attempt, Seconds, TaskId, Token
 from ..model.worker_calls import (
     ClearOrder,
     DirectCommand,
@@ -23,17 +21,12 @@
     IndirectProbe,
     Order,
     StartOrder,
-    StopOrder,
 )
-from ..state.allocations import Allocation, AttemptKey
 from ..state.cluster import ClusterState
-from ..state.jobs import Job
 from ..state.machine import Machine
+from .orders import Orders
 from .pending_work import PendingWork
 
-MAX_ORDERS = 300
-"""Most orders in one message; the rest follows with the next."""
-
 MAX_HEARTBEAT_REQUESTS = 30
 """Most machines that are asked for a heartbeat in one tick, a tenth of a second."""
 
@@ -56,23 +49,21 @@
 
 
 class Commands:
-    """Sends orders and knows which of them may still be executed late."""
+    """Sends orders, and keeps of each machine which of them may still be executed late."""
 
     def __init__(
         self,
         term: LeadingTerm,
-        jobs: dict[JobRef, Job],
         cluster: ClusterState,
+        orders: Orders,
         pending: PendingWork,
         replies: DirectReplies,
     ) -> None:
         self._term = term
-        self._jobs = jobs
         self._cluster = cluster
+        self._orders = orders
         self._pending = pending
         self._replies = replies
-        self._gangs_complete: dict[JobRef, bool] = {}
-        """Whether the placements of all members are on record, of gangs in the present message."""
 
     def answer(self, request: int, machine: Machine, now: Seconds, sequence: int) -> None:
         """Answer the heartbeat with this sequence number with what the worker is to do."""
@@ -86,78 +77,8 @@
 
         `answering` is the sequence number of the heartbeat answered; None: a direct command.
         """
-        self._gangs_complete.clear()
-        return self._orders(machine, now, answering)
-
-    def _orders(self, machine: Machine, now: Seconds, answering: int | None) -> list[Order]:
-        orders: list[Order] = []
-        may_start = self._term.may_start(now)
-        for allocation in machine.allocations.values():
-            if allocation.stopping:
-                if allocation.in_last_heartbeat:
-                    orders.append(
-                        StopOrder(str(allocation.task), allocation.attempt, allocation.grace_s)
-                    )
-                elif machine.shown_token <= machine.direct.pending_start_token:
-                    self._want_rotation(machine)
-            elif may_start and self._is_startable(machine, allocation):
-                orders.append(StartOrder(str(allocation.task), allocation.attempt))
-                allocation.start_sent = True
-                if answering is not None:
-                    allocation.start_sent_at_sequence = answering
-        for task, attempt in machine.orphans:
-            orders.append(StopOrder(str(task), attempt, 0.0))
-        orders.extend(
-            ClearOrder(str(key[0]), key[1])
-            for key in machine.exited
-            if self._is_clearable(machine, key)
-        )
-        return orders[:MAX_ORDERS]
-
-    def _is_startable(self, machine: Machine, allocation: Allocation) -> bool:
-        """Whether the attempt is on record and the worker's agent epoch is the one it is for."""
-        if (
-            not allocation.recorded
-            or allocation.in_last_heartbeat
-            or allocation.agent_epoch != machine.heartbeat_id.agent_epoch
-        ):
-            return False
-        if allocation.spec.shape is not Shape.GANG:
-            return True
-        # No member of a gang is started before the store has the placements of all.
-        complete = self._gangs_complete.get(allocation.task.job)
-        if complete is None:
-            job = self._jobs.get(allocation.task.job)
-            complete = self._gangs_complete[allocation.task.job] = (
-                job is not None and job.fully_recorded
-            )
-        return complete
-
-    def _is_clearable(self, machine: Machine, key: AttemptKey) -> bool:
-        """Whether the worker may forget the exited attempt.
-
-        A late start would then start it again. So no start may still arrive, and the store must
-        not name the attempt any more, or the next leader would send a start.
-        """
-        if machine.direct.in_flight:
-            return False
-        # A direct start may come twice even if it was answered. A result is kept, so a task that
-        # is done can be started again without harm.
-        harmless = machine.exited[key] == heartbeats.DONE
-        repeated = NO_TOKEN if harmless else machine.direct.starts.get(key, NO_TOKEN)
-        if machine.shown_token <= max(machine.direct.pending_start_token, repeated):
-            self._want_rotation(machine)
-            return False
-        task, attempt = key
-        job = self._jobs.get(task.job)
-        if job is None:
-            return True
-        chunk = job.chunks.get(task.number // job.chunk_length)
-        return chunk is None or (task.number, attempt, machine.id) not in chunk.recorded
-
-    def _want_rotation(self, machine: Machine) -> None:
-        if machine.shown_token >= self._term.began_token:
-            self._pending.rotation_wanted = True
+        self._orders.begin()
+        return self._orders.make(machine, now, answering)
 
     # Direct commands
 
@@ -165,7 +86,7 @@
         """Send their orders to the machines that are marked as direct targets."""
         pending = self._pending
         targets, pending.direct_targets = pending.direct_targets, set()
-        self._gangs_complete.clear()
+        self._orders.begin()
         if self._term.election.token is None:
             return
         for machine_id in targets:
@@ -180,7 +101,7 @@
             # Clearing can wait for the next heartbeat.
             orders = tuple(
                 order
-                for order in self._orders(machine, now, None)
+                for order in self._orders.make(machine, now, None)
                 if not isinstance(order, ClearOrder)
             )
             if orders:
