--- a/src/crosscleat/adapters/state_client.py
+++ b/src/crosscleat/adapters/state_client.py
@@ -110,7 +110,7 @@
         if call.for_user and self._refuses_user_read():
             return Unanswered()
         response = await self._connection.call(
-            "GET", f"/kv/{quote(call.key)}", None, call.patience_s
+            "GET", f"/kv/{quote(call.key)}", None, call.timeout_s
         )
         if response is None:
             return Unanswered()
@@ -126,7 +126,7 @@
         """All keys with the prefix, page by page."""
         if call.for_user and self._refuses_user_read():
             return Unanswered()
-        patience_s = USER_TIMEOUT_S if call.for_user else SCAN_TIMEOUT_S
+        timeout_s = USER_TIMEOUT_S if call.for_user else SCAN_TIMEOUT_S
         items: list[Item] = []
         first_revision: Version | None = None
         after = ""
@@ -134,7 +134,7 @@
             path = f"/kv?starts={quote(call.prefix)}&limit={KEYS_PER_PAGE}"
             if after:
                 path += f"&after={quote(after)}"
-            response = await self._connection.call("GET", path, None, patience_s)
+            response = await self._connection.call("GET", path, None, timeout_s)
             page = _decode_success(wire.decode_page, response)
             if isinstance(page, Unanswered):
                 return page
@@ -194,7 +194,7 @@
     async def _send_transaction(self, commits: list[Commit]) -> CommitOutcome:
         """Send the commits as one transaction, again and again until the store decides."""
         body = wire.encode_transaction(commits)
-        give_up_at = steady() + min(commit.patience_s for commit in commits)
+        give_up_at = steady() + min(commit.timeout_s for commit in commits)
         writes = sum(len(commit.writes) for commit in commits)
         repeated = False
         pause_s = FIRST_PAUSE_S
--- a/src/crosscleat/adapters/state_connection.py
+++ b/src/crosscleat/adapters/state_connection.py
@@ -79,13 +79,13 @@
         return response
 
     async def call(
-        self, method: str, path: str, body: bytes | None, patience_s: float
+        self, method: str, path: str, body: bytes | None, timeout_s: float
     ) -> HttpResponse | None:
         """The answer to a request that is repeated while it is refused or not answered.
 
-        None: the store did not decide within `patience_s`.
+        None: the store did not decide within `timeout_s`.
         """
-        give_up_at = steady() + patience_s
+        give_up_at = steady() + timeout_s
         pause_s = FIRST_PAUSE_S
         while True:
             left_s = give_up_at - steady()
--- a/src/crosscleat/core/control/user_requests.py
+++ b/src/crosscleat/core/control/user_requests.py
@@ -33,7 +33,7 @@
 MAX_CANCEL_RETRIES = 6
 """How often a cancellation is repeated when the live record has changed meanwhile."""
 
-COMMIT_PATIENCE_S = 1.5
+COMMIT_TIMEOUT_S = 1.5
 """For so long a transaction is tried for a user who waits."""
 
 
@@ -94,7 +94,7 @@
         )
         write = Put(live_key(spec.ref), live_record(spec, wall, cancelled=False))
         self._outbox.add(
-            Commit(conditions, (write,), decided, patience_s=COMMIT_PATIENCE_S, for_user=True)
+            Commit(conditions, (write,), decided, timeout_s=COMMIT_TIMEOUT_S, for_user=True)
         )
 
     def refuse(self, request: int, ref: JobRef | None, status: int) -> None:
@@ -162,7 +162,7 @@
         conditions = ((live_key(ref), item.version),)
         write = Put(live_key(ref), record)
         self._outbox.add(
-            Commit(conditions, (write,), decided, patience_s=COMMIT_PATIENCE_S, for_user=True)
+            Commit(conditions, (write,), decided, timeout_s=COMMIT_TIMEOUT_S, for_user=True)
         )
 
     def _answer(self, request: int, status: int, body: dict[str, str] | None = None) -> None:
--- a/src/crosscleat/core/model/store_calls.py
+++ b/src/crosscleat/core/model/store_calls.py
@@ -102,7 +102,7 @@
     conditions: tuple[tuple[str, Version], ...]
     writes: tuple[Put | Remove, ...]
     continuation: Callable[[CommitOutcome], None]
-    patience_s: float = 2.0
+    timeout_s: float = 2.0
     """How long it is repeated while the store does not decide."""
     for_user: bool = False
     """A user waits: it may share a transaction with others, and fails at once in an outage."""
@@ -113,7 +113,7 @@
 
     key: str
     continuation: Callable[[ReadResult | Unanswered], None]
-    patience_s: float = 1.5
+    timeout_s: float = 1.5
     for_user: bool = False
 
 
