--- a/tests/world/__init__.py
+++ b/tests/world/__init__.py
@@ -4,9 +4,9 @@
 broken, and knows nothing of how they decide.
 
 Modules: `world` has the state and the controllers' processes, `effects` carries out what they
-decide; `store_calls` and `worker_calls` are the calls over the `network`; `store`, `cloud`,
-`worker` and `gangs` are what the protocol describes; `users` submit and cancel; `rules` checks;
-`scenario` has the deployment; `clock` the simulated time.
+decide, `faults` has the switches of faults; `store_calls` and `worker_calls` are the calls over the
+`network`; `store`, `cloud`, `worker` and `gangs` are what the protocol describes; `users` submit
+and cancel; `rules` checks; `scenario` has the deployment; `clock` the simulated time.
 
 The faults, by the names that tests and docs use:
 
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -21,6 +21,7 @@
         self.world = world
 
     def check_start(self, worker: Worker, task: TaskId, spec: JobSpec) -> None:
+        """Raises if a task that starts on the worker breaks a rule."""
         self.world.started += 1
         elsewhere = [
             w.id
@@ -38,6 +39,11 @@
             raise RuleBrokenError(f"ran_cancelled: {task} starts on {worker.id}")
         if spec.ref not in self.world.accepted:
             raise RuleBrokenError(f"never accepted: {task}")
+        self.check_place(worker, task, spec)
+        self.check_quota(spec)
+
+    def check_place(self, worker: Worker, task: TaskId, spec: JobSpec) -> None:
+        """Raises if the job may not have a task there: machine type, zone, spot or not."""
         places = [
             w.zone
             for w in self.world.workers.values()
@@ -53,6 +59,9 @@
         )
         if wrong:
             raise RuleBrokenError(f"wrong_place: {task} on {worker.id}, others in {places}")
+
+    def check_quota(self, spec: JobSpec) -> None:
+        """Raises if one more task of the job takes its team over its quota."""
         used = spec.cpus + sum(
             self.world.specs[t.job].cpus
             for w in self.world.workers.values()
--- a/tests/world/store_calls.py
+++ b/tests/world/store_calls.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from functools import partial
 from typing import TYPE_CHECKING, Any
 
 from crosscleat.core.model.ids import LeaseId, Version
@@ -64,22 +65,30 @@
         reply_delay_s = delay
         if isinstance(effect, Scan):
             reply_delay_s += self.world.slow_scans.get(effect.prefix, 0.0)
-        timeout_s = STORE_TIMEOUT_S[type(effect)]
-
-        def arrive() -> None:
-            if not self.reaches_store(member):
-                timeout = 0.0 if getattr(effect, "for_user", False) else 0.5
-                self.world.clock.after(timeout, lambda: reply(Unanswered()))
-                return
-            result = self.serve(effect)
-            if delay + reply_delay_s > timeout_s:
-                # It was carried out, but nobody waits for the reply any more.
-                self.world.clock.after(max(0.0, timeout_s - delay), lambda: reply(Unanswered()))
-            else:
-                self.world.clock.after(reply_delay_s, lambda: reply(result))
-
+        arrive = partial(self._arrive, member, effect, reply, delay, reply_delay_s)
         self.world.clock.after(delay, arrive)
 
+    def _arrive(
+        self,
+        member: str,
+        effect: Any,
+        reply: Callable[..., None],
+        delay_s: float,
+        reply_delay_s: float,
+    ) -> None:
+        """The call reaches the store, if anything does; its reply may come too late."""
+        if not self.reaches_store(member):
+            timeout = 0.0 if getattr(effect, "for_user", False) else 0.5
+            self.world.clock.after(timeout, lambda: reply(Unanswered()))
+            return
+        timeout_s = STORE_TIMEOUT_S[type(effect)]
+        result = self.serve(effect)
+        if delay_s + reply_delay_s > timeout_s:
+            # It was carried out, but nobody waits for the reply any more.
+            self.world.clock.after(max(0.0, timeout_s - delay_s), lambda: reply(Unanswered()))
+        else:
+            self.world.clock.after(reply_delay_s, lambda: reply(result))
+
     def reaches_store(self, member: str) -> bool:
         return self.world.store.serves(member) and self.world.network.connected(member, REGION)
 
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -18,6 +18,7 @@
 from .clock import Clock
 from .cloud import Cloud
 from .effects import Effects
+from .faults import Faults
 from .gangs import Gangs
 from .network import Network
 from .rules import Rules
@@ -45,11 +46,12 @@
     requests: dict[int, Callable[[Any], None]] = field(default_factory=dict)
 
 
-class World:
+class World(Faults):
     """What all of its parts share, and the switches of its faults."""
 
-    def __init__(self, seed: int, upgrade: bool = False) -> None:  # noqa: PLR0915 - one statement an attribute
+    def __init__(self, seed: int, upgrade: bool = False) -> None:
         """With `upgrade` all controllers begin as the old version, under the present limits."""
+        super().__init__()
         self.rng = Random(seed)
         self.old_version: set[str] = set(MEMBERS) if upgrade else set()
         self.next_limits = NEXT_LIMITS if upgrade else LIMITS
@@ -67,25 +69,6 @@
         self.cancel_requested: set[str] = set()
         self.final_statuses: dict[str, str] = {}
         self.final_since: dict[str, float] = {}
-        self.flaky = 0.0
-        self.duplicates = 0.0
-        """Chance that a copy of a heartbeat arrives late, or that a direct command is repeated."""
-        self.no_direct: set[str] = set()
-        """Workers that direct commands do not reach."""
-        self.silenced: set[str] = set()
-        """Workers whose heartbeats reach no controller, while direct commands reach them."""
-        self.boot_fails = 0.05
-        """Chance that a machine never boots."""
-        self.late_writes = 0.0
-        """Chance that the store does not reply, and carries out the write 2 to 12 s later."""
-        self.slow_store_s = 0.0
-        """Seconds that a reply of the store takes at most."""
-        self.slow_scans: dict[str, float] = {}
-        """Seconds by which the reply to a scan of a prefix is delayed."""
-        self.slow_watches: set[str] = set()
-        """Controllers whose watches get no reply."""
-        self.cancel_at_end = 0.0
-        """Chance that users cancel a job as its last task ends."""
         self.last_answered_at: dict[str, float] = {}
         """When a query of the job was last answered."""
         self.cloud = Cloud(self)
@@ -95,7 +78,6 @@
         self.rules = Rules(self)
         self.users = Users(self)
         self.gangs = Gangs(self)
-        self.cloud_down = False
         self.rentals: dict[str, list[str]] = {}
         self.started = 0
         self._numbers = itertools.count(1)
@@ -221,13 +203,8 @@
     # The end of all faults
 
     def heal(self) -> None:
-        self.flaky = self.duplicates = self.late_writes = 0.0
-        self.slow_store_s = self.cancel_at_end = self.network.slow_s = 0.0
-        self.slow_scans.clear()
-        self.slow_watches.clear()
-        self.no_direct.clear()
-        self.silenced.clear()
-        self.cloud_down = False
+        self.end_faults()
+        self.network.slow_s = 0.0
         self.network.heal()
         for process in self.processes.values():
             if process is not None:
