--- a/tests/test_cycle.py
+++ b/tests/test_cycle.py
@@ -71,10 +71,12 @@
     assert plan_cycle([normal, urgent], [make_machine("m-0")]) == [
         Assignment(JobRef("job-u"), MachineId("m-0"))
     ]
+
     on_demand, spot = make_machine("m-0", spot=False), make_machine("m-1")
     assert [c.machine for c in plan_cycle([make_job("job-1", tasks=1)], [on_demand, spot])] == [
         "m-1"
     ]
+
     ready, bare = make_machine("m-0"), make_machine("m-1")
     ready.images.ready_at[Image("big")] = Seconds(0.0)
     large = make_job("job-1", tasks=1, image=Image("big"), image_gb=20.0)
@@ -90,6 +92,7 @@
 def test_a_job_that_fails_everywhere_is_tried_one_task_at_a_time() -> None:
     failing = make_job("job-f", tasks=5, cpus=1.0)
     failing.failed_on = {MachineId("m-0"), MachineId("m-1")}
+
     assert len(plan_cycle([failing], [make_machine("m-0"), make_machine("m-1")])) == 1
 
 
@@ -110,12 +113,16 @@
     )
     machine.shown_token, machine.direct.pending_start_token, machine.heartbeat_sequence = 7, 6, 6
     assert not machine.may_still_start(allocation)
+
     machine.heartbeat_sequence = 5
     assert machine.may_still_start(allocation), "the response with the start may be in flight"
+
     machine.heartbeat_sequence, machine.direct.pending_start_token = 6, 7
     assert machine.may_still_start(allocation), "a direct start was lost under the current token"
+
     machine.direct.pending_start_token, machine.direct.in_flight = 6, True
     assert machine.may_still_start(allocation)
+
     allocation.start_sent = False
     assert not machine.may_still_start(allocation)
 
@@ -133,6 +140,7 @@
     machine = make_machine("m-0")
     for image, size in (("a", 8.0), ("b", 8.0), ("a", 8.0), ("c", 8.0)):
         machine.use_image(Image(image), size, NOW)
+
     assert list(machine.images.ready_at) == ["a", "c"], "20 GB are enough for two"
 
 
@@ -143,15 +151,19 @@
     half_used.used_cpus = 6.0
     small = make_job("job-small", tasks=4, cpus=1.0, priority=Priority.PRODUCTION)
     assert plan_cycle([large, small], [half_used]) == []
+
     large.submitted = Seconds(NOW - 10.0)
     assert len(plan_cycle([large, small], [half_used])) == 2, (
         "urgent work does not wait for it so soon"
     )
+
     equal = make_job("job-equal", tasks=4, cpus=1.0)
     assert plan_cycle([large, equal], [half_used]) == []
+
     large.submitted = Seconds(NOW - 61.0)
     # Once it is empty the large task gets it; a task that is not large reserves nothing.
     assert [c.job for c in plan_cycle([large, small], [make_machine("m-0")])] == ["job-large"]
+
     half_used.used_cpus = 7.5
     medium = make_job("job-medium", tasks=1, cpus=2.0)
     medium.submitted = Seconds(NOW - 60.0)
@@ -163,6 +175,7 @@
     fleet = [make_machine(f"m-{n}") for n in range(400)]
     for machine in fleet[:-1]:
         machine.used_cpus = 8.0
+
     assert [c.machine for c in plan_cycle([make_job("job-1", tasks=1)], fleet)] == ["m-399"]
 
 
@@ -171,7 +184,9 @@
     for priority, count in ((Priority.NORMAL, 13), (Priority.HIGH, 14)):
         many = make_job("job-1", tasks=40, cpus=1.0, memory_gb=0.1, priority=priority)
         assert len(plan_cycle([many], fleet, reserve=1.0)) == count, "red may use 14 CPUs"
+
     alone = make_job("job-1", tasks=1, cpus=8.0, team=Team("red"))
+
     assert len(plan_cycle([alone], fleet, reserve=20.0)) == 1, "but no job is kept from starting"
 
 
@@ -184,6 +199,7 @@
     assert [c.job for c in plan_cycle([new, old], fleet)] == ["job-old", "job-new"], (
         "one of its tasks"
     )
+
     old.place(MachineId("m-9"), AgentEpoch(1))
     assert [c.job for c in plan_cycle([new, old], fleet)] == ["job-new", "job-new"], (
         "the old job has started"
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -97,6 +97,7 @@
     body = {name: HEARTBEAT_BODY[name] for name in HEARTBEAT_BODY if name != "recall_s"}
     task = REPLACE(HEARTBEAT.tasks[0], cause=None, saved=False)
     heartbeat = REPLACE(HEARTBEAT, notice_s=None, tasks=(task,))
+
     assert workers.parse_heartbeat(pack({**body, "picks": [pick]})) == heartbeat
 
 
@@ -192,9 +193,11 @@
 def test_the_optional_fields_of_a_machine_type_have_defaults() -> None:
     optional = ("gpus", "local_gb", "pull_gb_per_s", "ready_s")
     body = {name: RIG[name] for name in RIG if name not in optional}
+
     machine_type = dataclasses.replace(
         MACHINE_TYPE, gpus=0.0, cache_gb=0.0, fetch_gb_per_s=1.0, boot_s=60.0
     )
+
     assert cloud.decode_machine_types(pack({"rigs": [body]})) == [machine_type]
 
 
@@ -202,6 +205,7 @@
     page = cloud.decode_machine_page(pack({"boxes": [BOX], "more": True}))
     assert page.machines == [LISTED]
     assert page.more
+
     bare = {name: BOX[name] for name in BOX if name not in ("addr", "age_s")}
     page = cloud.decode_machine_page(pack({"boxes": [bare]}))
     assert page.machines[0] == REPLACE(LISTED, address="", age_s=0.0)
@@ -238,6 +242,7 @@
 def test_a_page_is_read() -> None:
     row = {"path": "a/b", "data": 1, "stamp": 7}
     page = state.decode_page(pack({"pairs": [row], "more": True, "ledger_rev": 9}))
+
     assert page.items == [Item("a/b", 1, Version(7))]
     assert (page.more, page.revision) == (True, 9)
 
@@ -245,6 +250,7 @@
 def test_changes_are_read() -> None:
     watch_result = [{"set": "a/b", "data": 1, "stamp": 7}, {"delete": "c"}]
     found = state.decode_changes(pack({"ledger_rev": 9, "news": watch_result}))
+
     assert found.revision == 9
     assert found.changes == [
         Item(key="a/b", value=1, version=Version(7)),
--- a/tests/test_encoded_jobs.py
+++ b/tests/test_encoded_jobs.py
@@ -67,6 +67,7 @@
 def test_every_other_field_of_a_submission_must_be_there(name: str) -> None:
     body = {other: SUBMISSION[other] for other in SUBMISSION if other != name}
     ref = None if name == "ref" else JobRef("job-000412")
+
     assert users.parse_submission(pack(body)) == users.MalformedSubmission(ref)
 
 
@@ -127,6 +128,7 @@
     commit = only(outbox, Commit)
     assert commit.conditions == (("live/job-000412", 0), ("ended/job-000412", 0))
     assert [write.key for write in commit.writes] == ["live/job-000412"]
+
     commit.continuation(Committed(Version(8)))
     answer = only_response(outbox)
     assert (answer.status, answer.body) == (201, {"ref": "job-000412", "status": "queued"})
@@ -150,6 +152,7 @@
     requests.query(1, REF)
     scan = only(outbox, Scan)
     assert scan.prefix == "live/"
+
     scan.continuation(
         ScanResult(
             [Item("live/job-000412", {**LIVE, "aborted": cancelled}, Version(7))], Version(8)
@@ -166,6 +169,7 @@
     only(outbox, Scan).continuation(ScanResult([], Version(8)))
     read = only(outbox, Read)
     assert read.key == "ended/job-000412"
+
     item = Item("ended/job-000412", {"tasks": 3, "aborted": cancelled}, Version(7))
     read.continuation(ReadResult(item, Version(8)))
     answer = only_response(outbox)
@@ -177,13 +181,16 @@
     requests.cancel(1, REF)
     read = only(outbox, Read)
     assert read.key == "live/job-000412"
+
     read.continuation(ReadResult(Item("live/job-000412", LIVE, Version(7)), Version(8)))
     commit = only(outbox, Commit)
     assert commit.conditions == (("live/job-000412", 7),)
+
     (write,) = commit.writes
     assert isinstance(write, Put)
     assert write.key == "live/job-000412"
     assert unpack(pack(write.value)) == {**LIVE, "aborted": True}
+
     commit.continuation(Committed(Version(9)))
     assert only_response(outbox).body == {"ref": "job-000412", "status": "aborted"}
 
@@ -219,6 +226,7 @@
 def test_users_answers_are_msgpack() -> None:
     body = {"ref": "job-1", "status": "running", "done": 1, "running": 2}
     status, written = asyncio.run(_get(Response(1, 200, body)))
+
     assert status == 200
     assert written.hex() == (
         "84a3726566a56a6f622d31a6737461747573a772756e6e696e67a4646f6e6501a772756e6e696e6702"
@@ -244,6 +252,7 @@
     decommission_records = DecommissionRecords(16.0)
     stored = {"machines": ["m-1", "m-2"]}
     assert decommission_records.load([Item("drop/4", stored, Version(2))]) == ["m-1", "m-2"]
+
     record, _ = decommission_records.with_capacity()
     more = {"machines": ["m-1", "m-2", "m-3"]}
     assert record.put([MachineId("m-3")]) == Put("drop/4", more)
@@ -266,6 +275,7 @@
     assert (record.key, record.value()) == ("work/7", SHORT_CHUNKS)
     assert [index for index in range(47) if one.done[index]] == [0, 42, 43, 45]
     assert one.chunks[0].attempts == {1: 4, 2: 5}
+
     placement = one.chunks[1].placed[46]
     assert (placement.attempt, placement.machine, placement.agent_epoch) == (7, "m-000007", 8)
 
@@ -276,6 +286,7 @@
     commit = only(outbox, Commit)
     assert commit.conditions == (("format/c0", 0),)
     assert commit.writes == (Put("format/c0", {"version": 2}),)
+
     commit.continuation(Committed(Version(8)))
     assert only(outbox, Scan).prefix == "format/"
 
@@ -283,4 +294,5 @@
 def test_the_leader_is_looked_up_under_its_key() -> None:
     outbox = Outbox()
     Election(Member("c1"), "0123456789abcdef", outbox, Random(1), lambda: NOW, NoTerm()).begin()
+
     assert only(outbox, Read).key == "leader"
--- a/tests/test_encoded_settings.py
+++ b/tests/test_encoded_settings.py
@@ -177,6 +177,7 @@
 def test_a_settings_file_is_read(tmp_path: Path, text: str, settings: Settings) -> None:
     path = tmp_path / "settings.toml"
     path.write_text(text)
+
     assert load(path) == settings
 
 
@@ -227,6 +228,7 @@
 ) -> None:
     bare = build_parser().parse_args(["--config", "f"])
     flagged = build_parser().parse_args(["--config", "f", flag, "0.375"])
+
     assert read_tuning_options(flagged, {}) == tuning
     assert read_tuning_options(bare, {name: "0.375"}) == tuning
     assert read_tuning_options(flagged, {name: "0.75"}) == tuning
@@ -235,6 +237,7 @@
 def test_the_help_names_all_flags_and_variables() -> None:
     text = build_parser().format_help()
     flags = {flag for flag, _, _ in TUNING_FLAGS} | {"--help", "--version", "--config", "--check"}
+
     assert set(re.findall(r"(?<![\w-])--[a-z][a-z-]*", text)) == flags
     assert set(re.findall(r"CROSSCLEAT_\w+", text)) == {name for _, name, _ in TUNING_FLAGS}
 
@@ -252,6 +255,7 @@
         monkeypatch.delenv("LOG_LEVEL", raising=False)
     else:
         monkeypatch.setenv("LOG_LEVEL", level)
+
     assert main(["--config", str(path), "--check"]) == status
 
 
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -125,7 +125,9 @@
     world.clock.advance(1.0)
     world.store.outage(CANCEL_S + 15.0)
     world.clock.advance(CANCEL_S + 20.0)
+
     world.finish()
+
     # Some cancellations may have been confirmed later; no task is on a machine.
     assert all(running(world, f"job-{number}") == 0 for number in range(4))
 
@@ -278,6 +280,7 @@
         world.users.cancel(f"job-{number}")
     world.clock.advance(CANCEL_S + 8.0)
     assert set(world.cancel_confirmed_at) == {f"job-{number}" for number in range(4)}
+
     world.finish()
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,6 +23,7 @@
     found = next_request(make_fleet(), jobs)
     assert found is not None
     assert found.pool.spot
+
     size = next(machine_type.cpus for machine_type in TYPES if machine_type.name == found.pool.type)
     assert found.count * size >= 20
 
@@ -30,6 +31,7 @@
 def test_a_passing_burst_rents_nothing_if_free_capacity_suffices() -> None:
     made = make_fleet()
     busy = full_machines(10)
+
     assert next_request(made, [job_waiting_for(0.5, tasks=4)], busy) is None
     assert next_request(made, [job_waiting_for(30.0, tasks=4)], busy) is not None, (
         "it has waited for long"
@@ -42,9 +44,11 @@
     busy = full_machines(10)
     assert next_request(made, [job_waiting_for(10.0)], busy) is not None
     assert next_request(made, [job_waiting_for(TARGET_S - 2.0)], busy) is None
+
     served = next_request(made, [job_waiting_for(120.0)], busy)
     assert served is not None
     assert served.overdue, "overdue work is started at any price"
+
     on_demand = next_request(made, [job_waiting_for(TARGET_S - 2.0, spot=False)], busy)
     assert on_demand is not None
     assert not on_demand.pool.spot, "it cannot use spot machines"
@@ -76,4 +80,5 @@
         machine.idle_since = Seconds(NOW - 10.0)
     for at in range(100):
         made.targets.demand.sample(8.0, Seconds(NOW - 100.0 + at))
+
     assert made.scale_in_candidates([spot, expensive], TEAMS, NOW) == [expensive]
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -93,6 +93,7 @@
         bad[name] = data.draw(st.sampled_from((None, "4", -1, math.inf, math.nan, -0.5)))
     parsed = users.parse_submission(pack(bad))
     ref = None if name == "ref" else JobRef(work["ref"])
+
     assert parsed == users.MalformedSubmission(ref)
 
 
@@ -156,6 +157,7 @@
         "picks": [{"pick": f"{r}/{n}", "try": t, "status": s} for r, n, t, s in tasks],
     }  # fmt: skip
     heartbeat = workers.parse_heartbeat(pack(body))
+
     assert heartbeat is not None
     assert heartbeat.heartbeat_id == (2, sequence)
     assert [str(t.task) for t in heartbeat.tasks] == [f"{r}/{n}" for r, n, _, _ in tasks]
@@ -183,7 +185,9 @@
         "box": "m-1", "addr": "10.1.0.1:9000", "rig": "r", "yard": "a", "loaners": False,
         "shift": 1, "tally": 4, "baton": 7, "picks": picks,
     }  # fmt: skip
+
     heartbeat = workers.parse_heartbeat(pack(body))
+
     assert heartbeat is not None
     assert [(t.state, t.cause, t.saved) for t in heartbeat.tasks] == [
         (heartbeats.WAITING, None, False),
--- a/tests/test_free_capacity.py
+++ b/tests/test_free_capacity.py
@@ -20,6 +20,7 @@
 def test_free_capacity_is_what_allocations_leave() -> None:
     used = Machine(MachineId("m-0"), TYPES[1], Zone("a"), True, used_cpus=2.5, used_memory=1.0)
     left = FreeCapacity.of(used)
+
     assert left.cpus == TYPES[1].cpus - 2.5
     assert left.memory_gb == TYPES[1].memory_gb - 1.0
     assert left.gpus == TYPES[1].gpus
@@ -29,6 +30,7 @@
 def test_as_many_tasks_are_taken_as_fit_and_are_asked_for(max_count: int, taken: int) -> None:
     left = free(cpus=4.5)
     spec = job("job-1", cpus=1.0, memory_gb=0.5)
+
     assert left.take_up_to(spec, max_count) == taken
     assert left.cpus == 4.5 - taken * 1.0
     assert left.memory_gb == 8.0 - taken * 0.5
@@ -38,7 +40,9 @@
     left = free(cpus=4.0)
     left.kept_for_on_demand = True
     trial = left.amounts()
+
     trial.give_back(job("job-1", cpus=1.0, memory_gb=0.5))
+
     assert (left.cpus, trial.cpus) == (4.0, 5.0)
     assert not trial.kept_for_on_demand
 
@@ -48,6 +52,7 @@
     left = free(cpus=0.3)
     for _ in range(2):
         left.take(spec)
+
     assert left.cpus < 0.1, "as sums of decimal amounts go"
     assert left.fits(spec)
 
@@ -55,6 +60,7 @@
 def test_zones_keep_the_order_of_their_items() -> None:
     machines = [make_machine(f"m-{n}", zone=zone) for n, zone in enumerate("abab")]
     zones = by_zone([FreeCapacity.of(one) for one in machines])
+
     assert [[free.machine.id for free in zone] for zone in zones] == [
         ["m-0", "m-2"],
         ["m-1", "m-3"],
--- a/tests/test_gang_attempts.py
+++ b/tests/test_gang_attempts.py
@@ -20,6 +20,7 @@
     gang = make_job("job-g", tasks=2, cpus=1.0, shape=Shape.GANG, team=Team("blue"))
     fleet = [make_machine("m-0")]
     assert len(plan_cycle([gang], fleet)) == 2
+
     for _ in range(2):
         gang.place(fleet[0].id, fleet[0].heartbeat_id.agent_epoch)
     gang.requeue(0, None)
@@ -31,6 +32,7 @@
     gang = Job(job("job-g", tasks=3, shape=Shape.GANG), Version(1), Seconds(0.0))
     machine = make_machine("m-0")
     assert {gang.place(machine.id, machine.heartbeat_id.agent_epoch)[1] for _ in range(3)} == {1}
+
     # Only one member got a second attempt, which was void; the others never had that number.
     for index in range(3):
         gang.requeue(index, None)
@@ -46,10 +48,12 @@
     term.leader.placer.place_gang(gang, [machine, machine])
     allocations = list(machine.allocations.values())
     assert len(allocations) == 2
+
     allocations[0].recorded = True
     assert not [
         o for o in term.leader.commands.orders(machine, term.now, 1) if isinstance(o, StartOrder)
     ]
+
     record_all(gang, machine)
     assert len(start_orders(term, machine)) == 2
 
@@ -59,7 +63,9 @@
     gang = term.leader.jobs[JobRef("job-g")]
     machine = next(iter(term.leader.cluster.machines.values()))
     other = make_machine("m-9")
+
     term.leader.placer.place_gang(gang, [machine, machine, other])
+
     assert gang.placed_count() == 0, "the third machine is not known to be up"
     assert not machine.allocations
     assert term.leader.cluster.team_cpus.get("red", 0.0) == 0.0
@@ -72,10 +78,12 @@
     term.leader.placer.place_gang(gang, [machine, machine])
     for allocation in machine.allocations.values():
         allocation.recorded = allocation.start_sent = allocation.in_last_heartbeat = True
+
     term.leader.attempts.stop_gang(gang, 5.0)
     stops = [
         o for o in term.leader.commands.orders(machine, term.now, 1) if isinstance(o, StopOrder)
     ]
+
     assert [stop.grace_s for stop in stops] == [5.0, 5.0]
     assert not any(isinstance(effect, Response) for effect in term.outbox.take())
 
@@ -91,12 +99,14 @@
     term.leader.commands.send_direct(term.now)
     (start,) = [effect for effect in term.outbox.take() if isinstance(effect, DirectCommand)]
     assert len(start.orders) == 2
+
     start.continuation(DirectReply(None, True))
     term.leader.attempts.stop_gang(gang, 0.0)
     term.step(2.0)
     term.receive_heartbeat((1, 3))
     term.receive_heartbeat((1, 4))
     assert gang.placed_count() == 2, "the start may still arrive"
+
     # Only a higher fencing token that the worker has seen rules that out.
     term.leader.term.election.token = Token(TOKEN + 5)
     term.receive_heartbeat((1, 5), token=TOKEN + 5)
@@ -112,6 +122,8 @@
         # Whether the gang waits is known from the first heartbeat; it runs, so it is stopped.
         assert not any(allocation.stopping for allocation in machine.allocations.values())
         term.receive_heartbeat((1, 1), tasks=(task_status(0, "running"),))
+
     term.leader.finish_step(term.now)
     allocations = list(machine.allocations.values())
+
     assert [allocation.stopping for allocation in allocations] == [recorded == 1] * recorded
--- a/tests/test_gang_notices.py
+++ b/tests/test_gang_notices.py
@@ -18,6 +18,7 @@
     term, gang = running_gang()
     send_reclaim_notice(term, "m-1", 4, 8.0, (task_status(1, "running"),))
     assert stopping_tasks(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
+
     # A second notice, of the other machine: the gang is stopping already.
     send_reclaim_notice(term, "m-0", 4, 8.0, (task_status(0, "running"),))
     assert stopping_tasks(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
@@ -27,12 +28,14 @@
 def test_a_reclaim_notice_does_not_stop_a_gang_that_ends_in_time() -> None:
     term, _ = running_gang(estimate_s=5.0)
     send_reclaim_notice(term, "m-1", 4, 8.0, (task_status(1, "running"),))
+
     assert stopping_tasks(term) == {}
 
 
 def test_a_reclaim_notice_too_short_for_a_checkpoint_stops_without_grace() -> None:
     term, _ = running_gang(save_s=7.5)
     send_reclaim_notice(term, "m-1", 4, 8.0, (task_status(1, "running"),))
+
     assert stopping_tasks(term) == {"job-g/0": 0.0, "job-g/1": 0.0}
 
 
@@ -43,6 +46,7 @@
     far.unresponsive_since = term.now
     send_reclaim_notice(term, "m-1", 4, 8.0, (task_status(1, "running"),))
     assert stopping_tasks(term) == {}, "a stop that reaches only one member saves nothing"
+
     term.step(2.0)
     far.unresponsive_since, far.direct.paused_until = None, Seconds(0.0)
     term.receive_heartbeat((1, 5), tasks=(task_status(0, "running"),))
@@ -57,7 +61,9 @@
     send_reclaim_notice(term, "m-1", 4, 8.0, (task_status(1, "running"),))
     term.step(5.5)
     term.receive_heartbeat((1, 5), machine="m-1", tasks=(task_status(1, "running"),))
+
     term.leader.watch_machines(term.now)
+
     assert stopping_tasks(term) == {"job-g/0": 0.0, "job-g/1": 0.0}
 
 
@@ -68,6 +74,7 @@
         term, "m-1", 4, 8.0, (task_status(1, "fetching"), task_status(2, "fetching"))
     )
     assert stopping_tasks(term) == {"job-g/1": 0.0, "job-g/2": 0.0}
+
     term.receive_heartbeat((1, 5), machine="m-1", tasks=(task_status(1, "exited", "stopped"),))
     term.receive_heartbeat((1, 6), machine="m-1", tasks=(task_status(2, "exited", "stopped"),))
     term.leader.finish_step(term.now)
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -24,6 +24,7 @@
 def test_a_gang_gets_the_zone_that_fits_all_its_tasks() -> None:
     gang = make_job("job-g", tasks=4, cpus=2.0, shape=Shape.GANG, one_zone=True, team=Team("blue"))
     fleet = [make_machine("m-0", 0, "a"), make_machine("m-1", 0, "b"), make_machine("m-2", 0, "b")]
+
     assert {choice.machine for choice in plan_cycle([gang], fleet)} == {"m-1", "m-2"}
     assert plan_cycle([gang], [make_machine("m-0", 0, "a"), make_machine("m-1", 0, "b")]) == []
 
@@ -34,6 +35,7 @@
     half = make_machine("m-0")
     half.used_cpus = 4.0
     assert {choice.job for choice in plan_cycle([gang, small], [half])} == {"job-s"}
+
     gang.submitted = type(gang.submitted)(gang.submitted - 10.0)
     assert plan_cycle([gang, small], [half]) == [], "the machine is reserved for the gang"
     assert {choice.job for choice in plan_cycle([gang, small], [make_machine("m-0")])} == {"job-g"}
@@ -46,6 +48,7 @@
         half.used_cpus = 6.0
     whole = make_machine("m-2")
     assert {c.machine for c in plan_cycle([gang], [*halves, whole])} == {"m-2"}
+
     far = make_job("job-g", tasks=4, cpus=1.0, shape=Shape.GANG, team=Team("blue"), image_gb=20.0)
     for half in halves:
         half.images.ready_at[Image("img")] = Seconds(0.0)
@@ -59,6 +62,7 @@
     ready = make_machine("m-0")
     ready.images.ready_at[Image("img")] = Seconds(0.0)
     assert plan_cycle([gang], [ready, make_machine("m-1")]) == []
+
     found = plan_cycle([gang], [ready, make_machine("m-1"), make_machine("m-2")])
     assert {c.machine for c in found} == {"m-1", "m-2"}, "they fetch the image at the same time"
 
@@ -81,6 +85,7 @@
         ]
     found = plan_cycle([gang], fleet)
     assert len(found) == 4
+
     zones_by_machine = {machine.id: machine.zone for machine in fleet}
     assert {zones_by_machine[c.machine] for c in found} == zones
 
@@ -90,6 +95,7 @@
     gang.submitted = Seconds(gang.submitted - 30.0)
     small = make_job("job-s", tasks=12, cpus=1.0)
     fleet = [make_machine("m-0", 1, "a"), make_machine("m-1", 1, "b")]
+
     assert len(plan_cycle([gang, small], fleet)) == 12
 
 
@@ -107,13 +113,16 @@
     assert machines_used_with_reserve([small], fleet, 0.0) == {"m-0", "m-1"}
     # Zone a has most on-demand capacity, and one machine there is enough for the reserve.
     assert machines_used_with_reserve([small], fleet, 8.0) == {"m-1", "m-2"}
+
     gang = make_job("job-g", tasks=4, cpus=1.0, spot=False, shape=Shape.GANG, team=Team("blue"))
     assert machines_used_with_reserve([gang], fleet[:1], 8.0) == {"m-0"}
     assert machines_used_with_reserve([small], fleet[:1], 8.0) == set()
+
     large = make_job("job-l", tasks=1, cpus=4.0)
     assert machines_used_with_reserve([large], fleet[:1], 8.0) == {"m-0"}, (
         "few other machines fit it"
     )
+
     small.submitted = Seconds(NOW - 70.0)
     assert machines_used_with_reserve([small], fleet[:1], 8.0) == {"m-0"}, "no job waits for ever"
 
@@ -121,6 +130,7 @@
 def test_the_on_demand_reserve_is_kept_on_small_machines_first() -> None:
     fleet = [make_machine("m-0", 1, "a", spot=False), make_machine("m-1", 0, "a", spot=False)]
     small = make_job("job-s", tasks=2, cpus=1.0)
+
     assert machines_used_with_reserve([small], fleet, 4.0) == {"m-0"}
 
 
@@ -138,7 +148,9 @@
     )
     scorer = Scorer(deployment("c0"), RunTimes())
     cycle = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1))
+
     found = cycle.plan([gang], [make_machine("m-0")], 100, {MachineId("m-0"): reservation})
+
     assert len(found) == (4 if waited_s > 1.0 and not reserved_by_gang else 0)
 
 
@@ -146,6 +158,7 @@
 def test_a_gang_that_goes_first_uses_the_urgent_reserve(waited_s: float) -> None:
     gang = make_job("job-g", tasks=4, cpus=1.0, shape=Shape.GANG, team=Team("blue"))
     gang.submitted = Seconds(NOW - waited_s)
+
     assert len(plan_cycle([gang], [make_machine("m-0")], reserve=6.0)) == (
         4 if waited_s > 1.0 else 0
     )
--- a/tests/test_gang_progress.py
+++ b/tests/test_gang_progress.py
@@ -22,13 +22,16 @@
     progress.mark_stopping(Seconds(117.0))
     progress.end_attempt(spec, Seconds(121.0), saved=True)
     assert progress.saved_s == 17.0, "the run ends with the first stop"
+
     progress.end_attempt(spec, Seconds(122.0), saved=True)
     progress.begin_attempt(spec)
     assert progress.saved_s == 17.0, "the exits of the other members add nothing"
+
     progress.mark_running(Seconds(130.0))
     progress.mark_stopping(Seconds(136.0))
     progress.begin_attempt(spec)
     assert progress.saved_s == 20.0, "checkpoints are at multiples of the job's own progress"
+
     progress.mark_running(Seconds(140.0))
     progress.mark_stopping(Seconds(145.0))
     progress.begin_attempt(spec)
@@ -56,4 +59,5 @@
         allocation.placed_at = Seconds(term.leader.term.began + 0.1)
         term.leader.task_statuses.learn_run_time(allocation, term.now)
         gang.done_count += 1
+
     assert term.leader.run_times.estimate(gang.spec) == pytest.approx(30.0 * learned)
--- a/tests/test_gang_replacement.py
+++ b/tests/test_gang_replacement.py
@@ -19,13 +19,16 @@
     term.receive_heartbeat((1, 3), machine="m-1", tasks=(task_status(1, "exited", "no_room"),))
     term.leader.finish_step(term.now)
     assert placements(term) == {"m-0": [(0, 1)], "m-1": [], "m-2": [(1, 1)]}
+
     moved = next(iter(term.leader.cluster.machines[MachineId("m-2")].allocations.values()))
     assert not moved.recorded, "its new allocation is not recorded yet"
     assert not gang.fully_recorded
+
     commit = next(effect for effect in term.outbox.take() if isinstance(effect, Commit))
     commit.continuation(Committed(Version(11)))
     assert moved.recorded
     assert gang.fully_recorded
+
     term.leader.finish_step(term.now)
     sent = [effect for effect in term.outbox.take() if isinstance(effect, DirectCommand)]
     starts = [o for effect in sent for o in effect.orders if isinstance(o, StartOrder)]
@@ -37,7 +40,9 @@
     term.receive_heartbeat((1, 3), machine="m-1", tasks=(task_status(1, "exited", "no_room"),))
     term.step(1.0)
     term.leader.cluster.machines[MachineId("m-1")].placement_paused_until = Seconds(0.0)
+
     term.leader.finish_step(term.now)
+
     assert gang.progress.stopped_at is not None, "there is no other machine, so the attempt ends"
 
 
@@ -50,7 +55,9 @@
         placed for placed in term.leader.cluster.allocations_of(gang) if placed[0].id == "m-1"
     )
     term.leader.attempts.ended(*lost)
+
     term.leader.finish_step(term.now)
+
     assert placements(term)["m-2"] == ([] if state == "running" else [(1, 1)])
     assert placements(term)["m-0"] == ([] if state == "running" else [(0, 1)])
 
@@ -60,7 +67,9 @@
     term, _ = gang_on_two_machines()
     term.receive_heartbeat((1, 1), machine="m-2")
     term.receive_heartbeat((1, 3), machine="m-1", tasks=(task_status(1, "exited", cause),))
+
     term.leader.finish_step(term.now)
+
     assert placements(term)["m-2"] == []
 
 
@@ -75,7 +84,9 @@
     ):
         term.receive_heartbeat((1, 4), machine=f"m-{number}", tasks=tasks)
     term.receive_heartbeat((1, 5), machine="m-1", tasks=(task_status(1, "exited", "no_room"),))
+
     term.leader.finish_step(term.now)
+
     assert placements(term)["m-2"] == ([(1, 1)] if waited_s == 1.0 else [])
 
 
@@ -87,7 +98,9 @@
     term.receive_heartbeat((1, 2), tasks=(task_status(0, "waiting"),))
     term.receive_heartbeat((1, 2), machine="m-2")
     term.leader.tick(term.now)
+
     term.leader.finish_step(term.now)
+
     assert sum(len(tasks_there) for tasks_there in placements(term).values()) == 2
     assert {attempt for tasks_there in placements(term).values() for _, attempt in tasks_there} == {
         1
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -27,6 +27,7 @@
 def test_a_gang_that_loses_a_machine_is_placed_again_as_a_whole(seed: int) -> None:
     world = world_with_gangs(seed, estimate_s=20.0, count=1)
     assert running(world, "job-0") == 3
+
     host = next(w for w in world.workers.values() if w.tasks)
     host.dead = True
     host.tasks.clear()
@@ -41,7 +42,9 @@
     world = world_with_gangs(seed, estimate_s=20.0, count=2)
     next(w for w in world.workers.values() if w.tasks).hang(hang_s)
     world.clock.advance(hang_s + 2.0)
+
     world.finish()
+
     assert finished_jobs(world) == {"job-0", "job-1"}
 
 
@@ -56,7 +59,9 @@
         world.crash(member, 0.3)
     world.clock.advance(5.0)
     world.users.submit(job("job-1", tasks=2, estimate_s=8.0, team=Team("blue"), shape=Shape.GANG))
+
     world.finish()
+
     assert finished_jobs(world) == {"job-0", "job-1"}
 
 
@@ -64,6 +69,7 @@
 def test_a_failover_repeats_no_running_task(seed: int) -> None:
     world = world_with_gangs(seed, estimate_s=40.0, count=1)
     assert running(world, "job-0") == 3
+
     started = world.started
     world.crash(leader_of(world), 5.0)
     world.clock.advance(10.0)
@@ -101,7 +107,9 @@
         for member in MEMBERS:
             world.network.cut(name, member, "hold")
     world.users.cancel("job-0")
+
     world.clock.advance(CANCEL_S + 1.0)
+
     assert world.cancel_confirmed_at
     assert running(world, "job-0") == 0
 
@@ -115,5 +123,7 @@
             job(f"job-{number}", tasks=4, cpus=2.0, estimate_s=5.0, shape=Shape.GANG)
         )
     world.clock.advance(GANG_WAIT_S + 30.0)
+
     world.finish()
+
     assert finished_jobs(world) == {f"job-{number}" for number in range(4)}
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -43,6 +43,7 @@
         health.receive_ping("c1", Ping(served=True))
         health.receive_ping("c2", Ping(served=False))
     assert health.is_cut_off()
+
     clock.now += 3.0
     assert not health.is_cut_off(), "no peer has reported for a while that the store serves it"
 
@@ -62,6 +63,7 @@
 def test_a_controller_with_store_is_ready_whatever_its_peers_report(clock: Time) -> None:
     health = Health(Store(clock))
     health.receive_ping("c1", Ping(served=True))
+
     assert not health.is_cut_off()
 
 
@@ -72,10 +74,13 @@
         health.receive_ping("c1", Ping(served=False))
         clock.now += 1.0
     assert not health.is_cut_off(), "one peer is enough"
+
     clock.now += 8.0
     assert health.is_cut_off()
+
     health.receive_ping("c1", Ping(served=False))
     assert not health.is_cut_off()
+
     alone = Health(Store(clock, since), has_peers=False)
     clock.now += 100.0
     assert not alone.is_cut_off(), "there is no peer to send users to"
@@ -84,4 +89,5 @@
 def test_a_controller_with_store_but_without_peers_takes_requests(clock: Time) -> None:
     health = Health(Store(clock))
     clock.now += 100.0
+
     assert not health.is_cut_off()
--- a/tests/test_interruptions.py
+++ b/tests/test_interruptions.py
@@ -64,7 +64,9 @@
     before = stats.rate
     for _ in range(80):
         stats.record_interruption()
+
     stats.record_uptime(1.0, 100)
+
     assert before < stats.rate <= before + MAX_AT_ONCE / 10_000.0
 
 
--- a/tests/test_isolated.py
+++ b/tests/test_isolated.py
@@ -40,7 +40,9 @@
     isolate(busy, leader_of(busy))
     busy.clock.advance(6.0)
     busy.users.cancel("job-long")
+
     busy.clock.advance(CANCEL_S + 5.0)
+
     assert busy.final_statuses["job-long"] == "aborted"
     assert running(busy, "job-long") == 0
 
@@ -53,7 +55,9 @@
         if other != old:
             busy.network.cut(old, other, "hold")
     before = {name for name, worker in busy.workers.items() if worker.dead}
+
     busy.clock.advance(12.0)
+
     assert leader_of(busy) != old
     assert {name for name, worker in busy.workers.items() if worker.dead} == before
     assert running(busy, "job-long") == 3
@@ -62,7 +66,9 @@
 def test_an_isolated_leader_renews_leases_for_a_while(busy: World) -> None:
     busy.cloud_down = True
     isolate(busy, leader_of(busy))
+
     busy.clock.advance(LEASE_S + 4.0)
+
     assert running(busy, "job-long") == 3, "an outage shorter than that must not end tasks"
 
 
@@ -76,6 +82,7 @@
     busy.clock.advance(CANCEL_S - LEASE_S)
     assert leader_of_others(busy, old)
     assert busy.started == 3
+
     # The world raises ran_twice if a task starts again while it is on its old machine.
     busy.clock.advance(60.0)
     assert busy.started > 3, "finally the lost tasks start elsewhere"
@@ -94,6 +101,7 @@
     assert batch.conditions["leader"] == 41
     assert batch.conditions[live_key(placed_job.ref)] == 7
     assert batch.conditions["work/1"] == 0
+
     done = Batch(41, 8)
     done.end_job(placed_job)
     assert done.conditions == {"leader": 41, live_key(placed_job.ref): 7}
@@ -123,7 +131,9 @@
     assert token_of(busy, leader_of(busy)) > term, "there is another term"
     assert busy.started == started, "running tasks continue"
     assert running(busy, "job-long") == 3
+
     busy.users.cancel("job-long")
     busy.clock.advance(CANCEL_S + 1.0)
     assert running(busy, "job-long") == 0
+
     busy.finish()
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -42,7 +42,9 @@
     leader = inherit()
     spec = leader.jobs[JobRef("job-1")].spec
     leader.receive_heartbeat(1, heartbeat(1, "running"), Seconds(50.5), relayed=False)
+
     leader.receive_heartbeat(2, heartbeat(2, "exited", "done"), Seconds(52.0), relayed=False)
+
     assert leader.jobs[JobRef("job-1")].complete
     # The task ran for far longer than the 1.5 s that this term saw of it.
     assert leader.run_times.estimate(spec) == 100.0
@@ -51,7 +53,9 @@
 def test_an_old_heartbeat_changes_nothing() -> None:
     leader = inherit()
     leader.receive_heartbeat(1, heartbeat(5, "running"), Seconds(50.5), relayed=False)
+
     leader.receive_heartbeat(2, heartbeat(4, "exited", "done"), Seconds(50.6), relayed=False)
+
     assert not leader.jobs[JobRef("job-1")].complete
     assert leader.jobs[JobRef("job-1")].placed_count() == 1
 
@@ -65,9 +69,11 @@
 def test_nothing_is_started_out_of_contact_with_the_store() -> None:
     term = Term(*recorded_job(agent_epoch=1))
     assert starts(term.receive_heartbeat((1, 1))) == 1
+
     # The job may have been cancelled since; leases are still renewed, up to their own bound.
     term.now = term.leader.term.now = Seconds(term.now + START_CONTACT_S + 0.5)
     assert starts(term.receive_heartbeat((1, 2))) == 0
+
     term.step(0.1)
     assert starts(term.receive_heartbeat((1, 3))) == 1
 
@@ -101,4 +107,5 @@
             pool = PoolKey(TYPES[0].name, Zone("a"), True)
             term.leader.autoscaler.rent(ScaleOutRequest(pool, 1))
         names += [effect.name for effect in term.outbox.take() if isinstance(effect, Rent)]
+
     assert len(names) == len(set(names)) == 4
--- a/tests/test_leader_without_workers.py
+++ b/tests/test_leader_without_workers.py
@@ -21,6 +21,7 @@
     term.leader.tick(term.now)
     requests = [effect for effect in term.outbox.take() if isinstance(effect, DirectCommand)]
     assert len(requests) == 5
+
     for request in requests[:4]:
         request.continuation(DirectReply(None, False))
     # A single worker that reaches the leader speaks against resigning.
@@ -28,6 +29,7 @@
     term.receive_heartbeat((1, 1), relayed=False)
     term.leader.tick(term.now)
     assert term.resignations == []
+
     for request in requests[:4]:
         request.continuation(DirectReply(None, False))
     term.step(6.0)
@@ -48,6 +50,7 @@
     term.step(4.0)
     term.leader.tick(term.now)
     assert term.resignations == []
+
     for _ in range(9):
         term.step(0.01)
         term.leader.tick(term.now)
@@ -65,7 +68,9 @@
     term.step(2.5)
     for machine in term.leader.cluster.machines.values():
         machine.last_heartbeat_at = term.now
+
     term.leader.tick(term.now)
+
     assert term.resignations == ["no worker receives our answers"]
     assert not any(machine.decommissioning for machine in term.leader.cluster.machines.values())
 
@@ -108,6 +113,7 @@
 def test_a_leader_that_no_worker_answers_resigns_soon() -> None:
     term = busy_term(100)
     heartbeats_requested_in(term, 1.5, answers=False)
+
     assert term.resignations[:1] == ["no worker reaches us"]
 
 
@@ -120,6 +126,7 @@
     ]
     term.leader.machine_list.receive(listed)
     assert not any(isinstance(effect, DirectCommand) for effect in term.outbox.take())
+
     requested = []
     for _ in range(50):
         term.step(0.1)
--- a/tests/test_new_leader.py
+++ b/tests/test_new_leader.py
@@ -46,6 +46,7 @@
     term.leader.machine_list.receive(listed("running"))
     wait(term, 2.0 * LEASE_S)
     assert returned(term) == set()
+
     wait(term, 2.0 * CANCEL_S)
     assert returned(term) == {f"m-{number}" for number in SILENT}, "not for ever"
 
@@ -53,5 +54,7 @@
 def test_machines_that_the_cloud_lists_as_starting_for_too_long_are_returned() -> None:
     term = Term()
     term.leader.machine_list.receive(listed("starting"))
+
     wait(term, 1.5 * LEASE_S)
+
     assert returned(term) == {f"m-{number}" for number in SILENT}
--- a/tests/test_outage_after_partition.py
+++ b/tests/test_outage_after_partition.py
@@ -71,8 +71,10 @@
     leader = leader_of(world)
     process = world.processes[leader]
     assert process is not None
+
     process.drift = drift
     assert running(world, "job-long") == 3
+
     for worker in list(world.workers.values())[::2] if hang_s else ():
         worker.hang(hang_s)
     gap(world, until_out_s, bound + edge_s, ["job-long"])
@@ -96,16 +98,20 @@
     world = at_work(estimate_s=200.0, for_s=20.0)
     world.cloud_down = True
     gap(world, until_out_s, CANCEL_S, [])
+
     # The last contact was up to the length of a watch ago, and a heartbeat may just have been
     # answered.
     world.clock.advance(CANCEL_S - until_out_s - 1.5 - HEARTBEAT_S * 1.25 - 2.0)
+
     assert running(world, "job-long") == 3
 
 
 def test_a_short_gap_ends_no_work() -> None:
     world = at_work(estimate_s=200.0, for_s=20.0)
     gap(world, 1.0, RENEW_S - 4.0, [])
+
     world.clock.advance(CANCEL_S)
+
     assert running(world, "job-long") == 3
 
 
@@ -117,7 +123,9 @@
     world.store.refused_until.clear()
     # Its watches get no reply; its lease renewals do.
     world.slow_watches.add(leader)
+
     world.clock.advance(CANCEL_S + 8.0)
+
     assert world.cancel_confirmed_at
     assert running(world, "job-long") == 0
 
@@ -138,12 +146,14 @@
     process = world.processes[electing]
     assert process is not None
     assert process.controller.leader is None
+
     world.slow_watches.add(electing)
     cancel_through_others(world, electing, "job-long")
     while process.controller.leader is None:
         world.clock.advance(0.01)
     assert "job-long" in world.cancel_confirmed_at
     assert running(world, "job-long") > 0
+
     world.store.outage(2.0 * CANCEL_S)
     world.clock.advance(CANCEL_S + 5.0)
     assert running(world, "job-long") == 0
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -69,6 +69,7 @@
     cluster = Cluster(2)
     for number, machine in enumerate(cluster.machines):
         cluster.run(f"job-{number}", machine)
+
     assert len(cluster.preempt(urgent(tasks=3))) == 3
     assert len(cluster.preempt(urgent(tasks=1, cpus=8.0))) == 2
     assert len(cluster.preempt(urgent(tasks=9))) == 4, "all that can be preempted"
@@ -78,6 +79,7 @@
     cluster = Cluster(1)
     first, _ = cluster.run("job-0", cluster.machines[0])
     first.stopping = True
+
     assert cluster.preempt(urgent(tasks=1)) == []
     assert len(cluster.preempt(urgent(tasks=2))) == 1
 
@@ -86,6 +88,7 @@
     cluster = Cluster(1)
     cluster.run("job-0", cluster.machines[0], priority=Priority.NORMAL)
     assert cluster.preempt(urgent()) == []
+
     lowest = Cluster(1)
     lowest.run("job-0", lowest.machines[0], priority=Priority.LOW)
     assert lowest.preempt(urgent(priority=Priority.LOW)) == []
@@ -97,9 +100,11 @@
     cluster = Cluster(1)
     cluster.run("job-0", cluster.machines[0], priority=Priority.NORMAL, team=GUEST.name)
     assert len(cluster.preempt(urgent(), teams=teams)) == 1
+
     equal = urgent(priority=Priority.NORMAL)
     assert len(cluster.preempt(equal, teams=teams)) == 1
     assert cluster.preempt(urgent(priority=Priority.NORMAL, team=GUEST.name), teams=teams) == []
+
     cluster.cluster.team_cpus[Team("blue")] = TEAMS[Team("blue")].cpus
     assert cluster.preempt(equal, teams=teams) == [], "its team has its guaranteed CPUs"
 
@@ -108,7 +113,9 @@
     cluster = Cluster(1)
     machine = cluster.machines[0]
     cluster.run("job-0", machine, ran_s=50.0, tasks=1)
+
     (saves,) = cluster.run("job-1", machine, ran_s=90.0, tasks=1, checkpoint_s=20.0, save_s=2.0)
+
     assert cluster.preempt(urgent()) == [Victim(machine, saves)]
 
 
@@ -119,6 +126,7 @@
     failing.failed_on = {MachineId("m-8"), MachineId("m-9")}
     assert cluster.preempt(failing) == [], "it fails wherever it is tried"
     assert cluster.preempt(urgent(spot=False)) == [], "the cloud may reclaim the machine"
+
     cluster.cluster.team_cpus[Team("blue")] = TEAMS[Team("blue")].cpus_max
     assert cluster.preempt(urgent()) == [], "its team is at its quota"
 
@@ -128,6 +136,7 @@
     machine = cluster.machines[0]
     cluster.run("job-0", machine, ran_s=COUNTED_START_S - 1.0, tasks=1)
     assert cluster.preempt(urgent(cpus=8.0)) == []
+
     (allocation,) = machine.allocations.values()
     allocation.running_since = Seconds(NOW - COUNTED_START_S - 1.0)
     assert cluster.preempt(urgent(cpus=8.0)) == [Victim(machine, allocation)]
@@ -139,6 +148,7 @@
     machine = cluster.machines[0]
     first, second = cluster.run("job-0", machine)
     first.start_sent = second.start_sent = second.in_last_heartbeat = True
+
     assert cluster.preempt(urgent(tasks=2)) == [Victim(machine, second)]
 
 
@@ -148,6 +158,7 @@
     for allocation in cluster.run("job-0", machine):
         cluster.cluster.remove(machine, allocation)
     assert list(cluster.cluster.machines_by_team()) == []
+
     orphan = Allocation(
         TaskId(JobRef("job-9"), 0),
         Attempt(1),
@@ -183,6 +194,7 @@
     late.first_untried = 1
     chosen = [choice.job for choice in plan_cycle([backfill, late], [make_machine("m-0")])]
     assert chosen == ["job-l", "job-l", "job-l", "job-b"]
+
     backfill.submitted = Seconds(NOW - 101.0)
     chosen = [choice.job for choice in plan_cycle([backfill, late], [make_machine("m-0")])]
     assert chosen[0] == "job-b", "it has waited for so long that it starts next"
@@ -194,6 +206,7 @@
     backfill = job_waiting_for(120.0, tasks=5)
     backfill.backfill = True
     assert next_request(made, [backfill], full_machines(10)) is not None, "all of its tasks start"
+
     backfill.place(MachineId("m-0"), AgentEpoch(1))
     assert next_request(made, [backfill], full_machines(10)) is None
 
@@ -208,6 +221,7 @@
             use = CpuUse({"blue": 8.0}, backfill=8.0 if backfills else 0.0)
             made.next_scale_out([running], full_machines(10), TEAMS, use, Seconds(NOW + second))
         kept[backfills] = made.targets.demand.mean()
+
     assert kept[True] == 0.0 < kept[False]
 
 
@@ -221,6 +235,7 @@
         machine.has_sent_heartbeat = True
         cluster.run(f"job-{machine.id}", machine, team=GUEST.name)
     assert made.scale_in_candidates([spot, expensive], teams, NOW) == [expensive]
+
     cluster.run("job-x", expensive, team=Team("blue"))
     assert made.scale_in_candidates([spot, expensive], teams, NOW) == []
 
@@ -228,4 +243,5 @@
 def test_backfill_leaves_the_reserve_to_others() -> None:
     backfill = make_job("job-b", team=Team("blue"), tasks=4, cpus=2.0, priority=Priority.LOW)
     backfill.backfill = True
+
     assert len(plan_cycle([backfill], [make_machine("m-0")], backfill_reserve=4.0)) == 2
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -90,6 +90,7 @@
             # An attempt's number is never given twice, in whatever term.
             for index, attempt in chunk.attempts.items():
                 assert placed_job.chunks[number].attempts.get(index) == attempt or old.done[index]
+
     assert all(ref != ended for r in again for ref, _ in r.entries)
 
 
@@ -107,12 +108,14 @@
                 placed_job.finish(index)
     for record in records:
         assert len(msgspec.json.encode(record.value())) <= VALUE_KB * 1024
+
     batch = Batch(7, TXN_OPS)
     for record in records.awaited_by_starts(NOW):
         batch.add_record(record)
     assert bool(batch.writes) == bool(list(records))
     assert len(batch.writes) <= TXN_OPS
     assert len(batch.conditions) <= 4 * TXN_OPS
+
     puts = [write for write in batch.writes if isinstance(write, Put)]
     assert len(puts) == len(batch.writes)
     assert len(msgspec.json.encode([put.value for put in puts])) <= 56 * 1024
@@ -130,6 +133,7 @@
     place(records, soon)
     order = [[ref for ref, _ in r.entries] for r in records.awaited_by_starts(NOW)]
     assert order == [["job-soon"], ["job-slow"]]
+
     next(iter(records)).start_waiting_since = Seconds(NOW - 2.0)
     order = [[ref for ref, _ in r.entries] for r in records.awaited_by_starts(NOW)]
     assert order == [["job-slow"], ["job-soon"]]
@@ -143,6 +147,7 @@
     records.remove_job(placed_job)
     assert records.deferrable() == [record]
     assert record.size == 0
+
     record.removal_pending = True
     other = waiting("job-2")
     place(records, other)
@@ -159,9 +164,11 @@
     later = DecommissionRecords(VALUE_KB)
     assert later.load([Item(put.key, put.value, Version(5))]) == ["m-1", "m-2"]
     assert later.remove_name(MachineId("m-1")) is None
+
     empty = later.remove_name(MachineId("m-2"))
     assert empty is not None
     assert empty.version == 5
+
     fresh, _ = later.with_capacity()
     assert fresh.version == ABSENT
     assert fresh.key != put.key
--- a/tests/test_rentals.py
+++ b/tests/test_rentals.py
@@ -87,6 +87,7 @@
         calls.append(rental(term))
     assert {call.name for call in calls} == {calls[0].name}
     assert pool(term).open(term.now)
+
     calls[-1].continuation(RentalUnanswered())
     assert not [effect for effect in term.outbox.take() if isinstance(effect, Rent)]
     assert not pool(term).open(term.now)
@@ -98,6 +99,7 @@
     rental(term).continuation(RentalRefused())
     assert not [effect for effect in term.outbox.take() if isinstance(effect, Rent)]
     assert not pool(term).open(term.now)
+
     term.step(10.0)
     assert pool(term).open(term.now)
 
@@ -108,7 +110,9 @@
 ) -> None:
     term = Term()
     term.leader.autoscaler.rent(ScaleOutRequest(POOL, 2))
+
     rental(term).continuation(Rented(machines))
+
     assert list(term.leader.cluster.machines) == machines
     assert pool(term).open(term.now) == open_after
 
@@ -118,5 +122,7 @@
     term.leader.autoscaler.rent(ScaleOutRequest(POOL, 1))
     call = rental(term)
     term.leader.term.retire()
+
     call.continuation(Rented(["m-1"]))
+
     assert not term.leader.cluster.machines
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -72,6 +72,7 @@
     world.finish()
     assert world.final_statuses["job-g"] == "done"
     assert world.final_statuses["job-more"] == "done"
+
     large = [
         key
         for key, (value, _, _) in world.store.items.items()
@@ -91,6 +92,7 @@
         world.clock.advance(3.0)
     values = [v for key, (v, _, _) in world.store.items.items() if key.startswith("work/")]
     assert all(set(value) == {"jobs"} for value in values), "the form that both versions read"
+
     world.finish()
 
 
@@ -106,6 +108,7 @@
         world.clock.advance(3.0)
     assert all(f"format/{member}" in world.store.items for member in MEMBERS)
     assert all(p is not None and p.controller.upgrade.complete for p in world.processes.values())
+
     world.users.submit(job("job-g", tasks=3, estimate_s=6.0, team=Team("blue"), shape=Shape.GANG))
     world.finish()
     assert world.final_statuses["job-g"] == "done"
@@ -143,6 +146,7 @@
     assert {"job-10", "job-11", "job-12"} <= done
     assert all("span" not in value for key, (value, _, _) in world.store.items.items()
                if key.startswith("work/")), "the missing one may restart as old"  # fmt: skip
+
     world.start_controller(missing)
     world.finish()
     assert "job-g12" not in world.accepted
@@ -198,7 +202,9 @@
     if moment == "after":
         world.drop_limits()
     world.clock.advance(1.0)
+
     world.finish()
+
     assert world.final_statuses["job-g"] == "done"
     assert world.final_statuses["job-many"] == "done"
     assert world.store.too_large <= 1
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -70,7 +70,9 @@
     raw = copy.deepcopy(GOOD)
     raw["unknown"] = {"x": 1}
     raw["settings"]["workers"]["unknown"] = 3
+
     found = parse(raw, "file").deployment(TuningOptions())
+
     assert found.cancel_s == 44.0
     assert found.objective_limits("wait", "a") == (2.0, 12.0)
     assert found.objective_limits("finished", "a") == ()
@@ -94,6 +96,7 @@
     missing, senseless = copy.deepcopy(GOOD), copy.deepcopy(GOOD)
     del at(missing, path)[name]
     at(senseless, path)[name] = "" if value == "x" and name == "member" else value
+
     for raw in (missing, senseless):
         with pytest.raises(SettingsError) as caught:
             parse(raw, "file")
@@ -104,6 +107,7 @@
 def test_a_lease_longer_than_a_cancellation_is_refused() -> None:
     raw = copy.deepcopy(GOOD)
     raw["settings"]["workers"]["lease_s"] = 50.0
+
     with pytest.raises(SettingsError, match="cancel_s"):
         parse(raw, "file")
 
@@ -127,6 +131,7 @@
     tighter = found.settings.state.tighter()
     for name, limit in now.items():
         assert getattr(tighter, name) == min(limit, later.get(name, limit))
+
     deployed = found.deployment(TuningOptions())
     assert (deployed.value_kb, deployed.txn_ops) == (tighter.value_kb, tighter.txn_ops)
 
@@ -147,6 +152,7 @@
     raw = copy.deepcopy(GOOD)
     raw["settings"]["state"]["next"] = {}
     at(raw, place)[name] = value
+
     with pytest.raises(SettingsError, match=name):
         parse(raw, "file")
     assert parse(copy.deepcopy(GOOD), "file").deployment(TuningOptions()).gang_wait_s > 0
@@ -157,6 +163,7 @@
     tuning = read_tuning_options(
         arguments, {variable("weight"): "0.1", variable("headroom"): "0.7"}
     )
+
     assert (tuning.weight, tuning.headroom, tuning.round_s) == (0.5, 0.7, TuningOptions().round_s)
     with pytest.raises(SettingsError, match="CROSSCLEAT_HEADROOM"):
         read_tuning_options(arguments, {variable("headroom"): "much"})
@@ -174,6 +181,7 @@
     good.write_text(TOML)
     bad.write_text(TOML.replace("lease_s = 14.0", "lease_s = 0"))
     assert start("--config", str(good), "--check").returncode == 0
+
     found = start("--config", str(bad))
     assert found.returncode == 2
     assert "lease_s" in found.stderr
--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -93,6 +93,7 @@
             assert machine.used_cpus + sum(spec.cpus for spec in here) <= 8.0 + 1e-6
         for ref, _ in proposal.assignments:
             taken[by_ref[ref].team] += by_ref[ref].cpus
+
     for team, limits in TEAMS.items():
         assert taken[team] <= max(limits.cpus_max, red if team == "red" else 0.0) + 1e-6
 
@@ -105,9 +106,11 @@
     (request,) = [effect for effect in term.outbox.take() if isinstance(effect, ShardRequest)]
     assert request.member == "c1"
     assert len(request.view.jobs) == 2
+
     # It has not proposed before, so nobody waits for it.
     leader.finish_step(term.now)
     assert [one.placed_count() for one in leader.jobs.values()] == [1, 1]
+
     # Once it has been in time it is waited for, though not for long.
     leader.scheduler.commit_proposal(Member("c1"), ShardProposal(request.view.number, ()), term.now)
     new, late = refs_of("c1", 4)[2:]
@@ -117,6 +120,7 @@
     leader.tick(term.now)
     leader.finish_step(term.now)
     assert leader.jobs[JobRef(new)].placed_count() == 0
+
     term.step(0.5)
     leader.apply_job_changes([live(late)], term.now)
     leader.finish_step(term.now)
@@ -135,11 +139,13 @@
     outdated = ShardProposal(number - 1, ((JobRef(mine[0]), here),))
     leader.scheduler.commit_proposal(Member("c1"), outdated, term.now)
     assert leader.jobs[JobRef(mine[0])].placed_count() == 0
+
     assignments = ((JobRef(mine[0]), here), (JobRef(others[0]), here), (JobRef("job-gone"), here),
                (JobRef(mine[1]), MachineId("m-gone")))  # fmt: skip
     leader.scheduler.commit_proposal(Member("c1"), ShardProposal(number, assignments), term.now)
     placed = {ref: leader.jobs[JobRef(ref)].placed_count() for ref in (*mine, *others)}
     assert placed == {mine[0]: 1, mine[1]: 0, others[0]: 0}, "others' jobs are not its to place"
+
     leader.scheduler.commit_proposal(Member("c1"), ShardProposal(number, assignments), term.now)
     assert leader.jobs[JobRef(mine[0])].placed_count() == 1, "a repeat has no effect"
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -81,9 +81,11 @@
     allowed = counted(monkeypatch, Machine, "allows")
     ranked = counted(monkeypatch, Feasibility, "admits")
     scorer = Scorer(deployment("c0"), RunTimes())
+
     planned = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1)).plan(
         jobs, machines, 48
     )
+
     assert len(planned) >= 30, "a sample that includes full machines would find a third of them"
     assert {assignment.machine for assignment in planned} <= {m.id for m in machines[:WITH_ROOM]}
     assert ranked[0] <= 2 * JOBS * WITH_ROOM
@@ -99,7 +101,9 @@
     taken = counted(monkeypatch, FreeCapacity, "take_up_to")
     types = {machine_type.name: machine_type for machine_type in TYPES}
     fleet = Fleet(TuningOptions(), types, FixedTarget(60.0))
+
     request = fleet.next_scale_out(jobs, machines, TEAMS, CpuUse(), NOW)
+
     assert request is not None
     assert 0 < taken[0] <= JOBS * WITH_ROOM
 
@@ -115,9 +119,11 @@
     machines = [Machine(MachineId(f"m-{n}"), TYPES[1], Zone("a"), True) for n in range(200)]
     ranked = counted(monkeypatch, Feasibility, "admits")
     scorer = Scorer(deployment("c0"), RunTimes())
+
     planned = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1)).plan(
         jobs, machines, 48
     )
+
     assert len(planned) == 48
     assert ranked[0] <= 1.2 * MAX_RANKED_JOBS * MIN_SAMPLE
 
@@ -134,7 +140,9 @@
     priced = counted(monkeypatch, PoolCatalog, "cheapest_for_job")
     types = {machine_type.name: machine_type for machine_type in TYPES}
     fleet = Fleet(TuningOptions(), types, FixedTarget(60.0))
+
     request = fleet.next_scale_out(jobs, [], TEAMS, CpuUse(), NOW)
+
     assert request is not None
     assert request.count == MAX_PER_RENTAL
     assert 0 < priced[0] <= MAX_PRICED
@@ -149,9 +157,11 @@
     machine = Machine(MachineId("m-0"), TYPES[1], Zone("a"), True)
     machine.used_cpus = 4.0
     scorer = Scorer(deployment("c0"), RunTimes())
+
     planned = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1)).plan(
         leader_of_machines + small, [machine], 48
     )
+
     assert len(planned) == 4
 
 
@@ -159,6 +169,7 @@
 def test_the_sockets_suffice_for_all_that_may_be_open_at_once(max_open: int, peers: int) -> None:
     sockets = SocketBudget.divide(max_open, peers)
     ours = sockets.store + sockets.cloud + 2 * sockets.workers
+
     assert ours + 3 * peers + 2 + sockets.clients <= max_open
     assert sockets.clients >= 0.6 * max_open - 3 * peers
     assert min(sockets) >= 2
@@ -191,6 +202,7 @@
         term.leader.pending.cycle_wanted = True
         term.leader.tick(term.now)
         term.leader.finish_step(term.now)
+
     assert 2 * machines <= watched[0] <= 6 * 1.3 * WATCHED_PER_S
     assert looked_at[0] <= 6 * 1.3 * PROMPT_MACHINES / 0.15
 
@@ -210,8 +222,10 @@
         waiting.failed_on = failing
         term.leader.jobs[ref] = waiting
     term.outbox.take()
+
     term.leader.scheduler.dispatch_shards(term.now)
     requests = [effect for effect in term.outbox.take() if isinstance(effect, ShardRequest)]
+
     assert len(requests) == 2
     for request in requests:
         assert (
@@ -225,6 +239,7 @@
     for number in range(MAX_COUNTS + 10):
         ref = JobRef(f"job-{number:06d}")
         term.leader.jobs[ref] = Job(job(ref), Version(1), term.now)
+
     assert [len(term.leader.progress.changed_counts()) for _ in range(3)] == [MAX_COUNTS, 10, 0]
 
 
@@ -253,7 +268,9 @@
     found = counted(monkeypatch, ClusterState, "find")
     unrecorded = counted(monkeypatch, Chunk, "has_unrecorded")
     term.leader.write_outcomes.placements_recorded(gang, list(range(spec.tasks)))
+
     term.leader.commands.send_direct(term.now)
+
     assert (
         sum(len(e.orders) for e in term.outbox.take() if isinstance(e, DirectCommand)) == spec.tasks
     )
--- a/tests/test_stale_heartbeats.py
+++ b/tests/test_stale_heartbeats.py
@@ -23,6 +23,7 @@
         "the leader requests a heartbeat directly"
     )
     assert not term.usable
+
     term.step(0.5)
     term.receive_heartbeat((1, 41))
     assert term.usable, "it shows the current token, so it is alive"
@@ -36,7 +37,9 @@
     machine.decommission_recorded = True
     term.leader.tick(term.now)
     (delete,) = [e for e in term.outbox.take() if isinstance(e, DeleteMachines)]
+
     delete.continuation(True)
+
     # The heartbeat was in flight when the machine was deleted, and shows the current token.
     assert term.receive_heartbeat((1, 41)) == [Response(1, 503, None, 1)]
     assert term.leader.cluster.machines == {}
@@ -45,9 +48,11 @@
 def test_a_late_heartbeat_copy_renews_nothing() -> None:
     term = Term()
     term.receive_heartbeat((1, 40))
+
     term.step(3.0)
     machine = term.leader.cluster.machines[MachineId("m-0")]
     before = (machine.last_heartbeat_at, machine.last_possible_renewal, machine.heartbeat_id)
+
     for heartbeat_id in ((1, 40), (1, 7)):
         assert term.receive_heartbeat(heartbeat_id) == [Response(1, 503, None, 1)]
     assert (
@@ -66,6 +71,7 @@
     # All arrive when the cut ends: the old ones get responses too, but nobody waits for these.
     for heartbeat_id in ((1, 6), (1, 7), (2, 8)):
         term.receive_heartbeat(heartbeat_id)
+
     assert not term.decommissioning
 
 
@@ -75,6 +81,7 @@
     term = Term(live, work)
     term.receive_heartbeat((agent_epoch, 1), token=TOKEN - 1)
     assert not term.decommissioning, "the heartbeat may be an old copy"
+
     term.step(0.5)
     term.receive_heartbeat((agent_epoch, 2))
     assert term.decommissioning == (agent_epoch == 1)
@@ -83,8 +90,10 @@
 def test_a_heartbeat_from_before_a_machine_restarted_proves_no_task_ended() -> None:
     # The machine reached epoch 3, lost power and restarted at 1; a task was placed there since.
     term = Term(*recorded_job(agent_epoch=1))
+
     term.receive_heartbeat((1, 9))
     machine = term.leader.cluster.machines[MachineId("m-0")]
+
     assert machine.allocations
     assert term.receive_heartbeat((3, 52), token=TOKEN - 1) == [Response(1, 503, None, 1)]
     assert machine.allocations
@@ -95,6 +104,7 @@
     term.receive_heartbeat((3, 52), token=TOKEN - 1)
     machine = term.leader.cluster.machines[MachineId("m-0")]
     assert machine.allocations, "the heartbeat may be a copy from before the machine lost power"
+
     term.step(0.5)
     term.receive_heartbeat((3, 53))
     assert not machine.allocations
--- a/tests/test_task_reports.py
+++ b/tests/test_task_reports.py
@@ -42,6 +42,7 @@
     (answer,) = term.receive_heartbeat((1, 4), tasks=(ended,))
     assert isinstance(answer, HeartbeatResponse)
     assert any(isinstance(order, ClearOrder) for order in answer.orders) == cleared
+
     # A higher fencing token rules the repeat out.
     term.leader.term.election.token = Token(TOKEN + 5)
     (answer,) = term.receive_heartbeat((1, 5), token=TOKEN + 5, tasks=(ended,))
@@ -75,6 +76,7 @@
     assert [text for text in log_texts if "unknown words" in text] == [
         "machine m-0 reports unknown words: 'dreaming', 'eaten'"
     ]
+
     machine = term.leader.cluster.machines[MachineId("m-0")]
     assert machine.allocations, "a task in an unknown state keeps its allocation"
 
@@ -90,6 +92,7 @@
     cluster.add(shell, allocation)
     assert not cluster.zone_allows(spec, Zone("a"))
     assert not cluster.zone_allows(spec, Zone("b"))
+
     cluster.remove(shell, allocation)
     allocation.zone = shell.zone = Zone("a")
     cluster.add(shell, allocation)
--- a/tests/test_unresponsive_workers.py
+++ b/tests/test_unresponsive_workers.py
@@ -27,7 +27,9 @@
     term = Term()
     term.receive_heartbeat((1, 1))
     term.step(LEASE_S + 1.0)
+
     term.receive_heartbeat((2, 2))
+
     assert not term.decommissioning
 
 
@@ -45,6 +47,7 @@
     busy.network.one_way_cuts.update((member, name) for member in MEMBERS)
     busy.clock.advance(LEASE_S + 10.0)
     assert busy.workers[name].dead, "returned, so that nothing is allocated on it any more"
+
     busy.clock.advance(120.0)
     busy.users.query("job-long")
     busy.clock.advance(1.0)
@@ -58,6 +61,7 @@
         busy.users.submit(job(f"job-{number}", tasks=2, estimate_s=3.0, team=Team("blue")))
         busy.clock.advance(12.0)
     assert not busy.workers[name].dead
+
     for number in range(4):
         busy.users.query(f"job-{number}")
     busy.clock.advance(1.0)
@@ -78,7 +82,9 @@
         if member != reachable:
             busy.network.cut(name, member, "hold")
     tasks_before = set(worker.tasks)
+
     busy.clock.advance(8.0)
+
     assert not worker.dead
     assert tasks_before <= set(worker.tasks)
 
@@ -96,4 +102,5 @@
             term.leader.cluster.machines[MachineId(f"m-{number}")].last_heartbeat_at = term.now
         term.leader.tick(term.now)
     decommissioned = {m.id for m in term.leader.cluster.machines.values() if m.decommissioning}
+
     assert decommissioned == {"m-0"}, "the one in zone a; all of zone b may come back"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -75,6 +75,7 @@
 
 def test_what_production_wrote_is_read() -> None:
     assert spec_of(LIVE_394DFE6) == SPEC
+
     jobs = {
         SPEC.ref: Job(SPEC, Version(3), NOW),
         JobRef("job-000413"): Job(job("job-000413", tasks=401), Version(4), NOW),
@@ -86,12 +87,14 @@
         one_job.finish_loading()
         assert state_of(one_job) == wanted[ref]
     assert jobs[SPEC.ref].chunks[0].attempts == {1: 1, 2: 1}
+
     decommission_records = DecommissionRecords(16.0)
     assert decommission_records.load([Item("drop/1", {"machines": ["m-000009"]}, Version(2))]) == [
         "m-000009"
     ]
     for sample, message in FRAMES_394DFE6.items():
         assert peers.decode_message(bytes.fromhex(sample)[4:]) == message
+
     shard_request = peers.decode_message(bytes.fromhex(PART_394DFE6)[4:])
     assert isinstance(shard_request, peers.ShardRequest)
     assert shard_request.view.jobs[0].spec == SPEC
@@ -106,6 +109,7 @@
     outbox = Outbox()
     election = Election(Member("c1"), "0123456789abcdef", outbox, Random(1), lambda: NOW, NoTerm())
     assert election._record(LeaseId(7)) == leader_394dfe6
+
     election._follow(leader_394dfe6)
     assert election.leader == "c1"
 
@@ -130,8 +134,10 @@
     assert ended_record(3, cancelled=False) == {"tasks": 3, "aborted": False}
     for sample, message in FRAMES_394DFE6.items():
         assert peers.encode_frame(message).hex() == sample
+
     shard_request = peers.decode_message(bytes.fromhex(PART_394DFE6)[4:])
     assert peers.encode_frame(shard_request).hex() == PART_394DFE6
+
     decommission_records, capacity = DecommissionRecords(SMALL_KB).with_capacity()
     assert decommission_records.put([MachineId("m-000009")]).value == {"machines": ["m-000009"]}
     assert capacity >= 50
@@ -144,8 +150,10 @@
     records = PlacementRecords(SMALL_KB, SMALL_OPS, cut=False)
     one_job = Job(job("job-1", tasks=tasks), Version(1), NOW, records.chunk_length)
     placed = data.draw(st.integers(0, tasks))
+
     spread(records, one_job, placed, data.draw(st.integers(0, placed)))
     items = {item.key: item.value for item in stored(records)}
+
     assert all(set(value) == {"jobs"} for value in items.values())
     assert read_by_394dfe6(items).get("job-1", {}) == state_of(one_job)
 
@@ -197,6 +205,7 @@
             one_job.waiting_count() + one_job.placed_count() + one_job.done_count
             == one_job.spec.tasks
         )
+
     if not changed:
         assert {ref: state_of(one_job) for ref, one_job in after.items()} == {
             ref: state_of(one_job) for ref, one_job in before.items()
@@ -213,6 +222,7 @@
     records = list(small)
     assert len(records) == 4
     assert small.take_rewritten() == []
+
     for record in records[:-1]:
         small.mark_rewritten(list(record.entries.values()))
         assert small.take_rewritten() == []
--- a/tests/test_upgrade_coordination.py
+++ b/tests/test_upgrade_coordination.py
@@ -70,15 +70,18 @@
     store.run()
     assert store.keys == {"format/c0"}
     assert not first.complete
+
     # The controller restarts: its key is stored already.
     again = store.controller("c0")
     again.begin()
     store.controller("c1").begin()
     store.run()
     assert not again.complete
+
     store.controller("c2").begin()
     store.run()
     assert again.complete
+
     late = store.controller("c1")
     late.begin()
     store.run()
@@ -95,6 +98,7 @@
         assert any(isinstance(effect, Commit) for effect in effects)
         return
     assert not any(isinstance(effect, Commit) for effect in effects)
+
     # A repeat of an accepted job is answered; for an unknown one the user is told to retry.
     (scan,) = [effect for effect in effects if isinstance(effect, Scan)]
     scan.continuation(ScanResult([], Version(1)))
--- a/tests/test_user_requests.py
+++ b/tests/test_user_requests.py
@@ -45,6 +45,7 @@
     names = (*(TypeName(f"nothing-{n}") for n in range(3000)), TYPES[0].name)
     (commit,) = submit(types=names)
     assert isinstance(commit, Commit)
+
     (put,) = commit.writes
     assert isinstance(put, Put)
     assert len(msgspec.json.encode(put.value)) < 1000
@@ -62,14 +63,17 @@
         (effect,) = submit(tasks=8, cpus=2.0, shape=shape)
         assert isinstance(effect, Commit) == accepted
     (effect,) = submit(tasks=7, cpus=2.0, shape=Shape.GANG)
+
     assert isinstance(effect, Commit)
 
 
 def test_without_machine_types_nothing_is_decided() -> None:
     requests, outbox = user_requests(types=False)
     requests.submit(1, job("job-1"), WallTime(0.0))
+
     only(outbox, Scan).continuation(Unanswered())
     (answer,) = outbox.take()
+
     assert answer == Response(1, 503, None, 1)
 
 
@@ -77,7 +81,9 @@
     requests, outbox = user_requests()
     requests.submit(1, job("job-1"), WallTime(0.0))
     only(outbox, Commit).continuation(Conflict(frozenset({"live/job-1"}), False))
+
     only(outbox, Scan).continuation(ScanResult([live("job-1", 3)], Version(3)))
+
     assert only_response(outbox).body["status"] == "queued"
 
 
@@ -102,8 +108,10 @@
     read_changes = only(outbox, Watch)
     assert read_changes.after == 5
     assert read_changes.block_s == 0.0
+
     requests.query(4, JobRef("job-2"))
     assert outbox.take() == [], "the query came after the read began"
+
     read_changes.continuation(WatchResult(Version(7), [live("job-1", 7, cancelled=True)]))
     *answers, later = outbox.take()
     assert [a.body["status"] for a in answers if isinstance(a, Response) and a.body] == [
@@ -112,13 +120,16 @@
     ]
     assert len(answers) == 2
     assert isinstance(later, Delay)
+
     later.continuation()
     read_changes = only(outbox, Watch)
     assert read_changes.after == 7
+
     read_changes.continuation(WatchResult(Version(9), [Item("live/job-2", None, Version(0))]))
     read = only(outbox, Read)
     assert read.key == "ended/job-2"
     assert not read.for_user, "it is not taken from the allowance for queries of unknown jobs"
+
     read.continuation(
         ReadResult(Item("ended/job-2", {"tasks": 3, "aborted": False}, Version(9)), Version(9))
     )
@@ -133,6 +144,7 @@
     only(outbox, Delay).continuation()
     only(outbox, Watch).continuation(Unanswered())
     assert outbox.take() == [Response(2, 503, None, 1)]
+
     requests.query(3, JobRef("job-2"))
     only(outbox, Delay).continuation()
     only(outbox, Watch).continuation(ChangesLost())
@@ -147,5 +159,6 @@
     only(outbox, Watch).continuation(WatchResult(Version(6), []))
     read = only(outbox, Read)
     assert read.for_user
+
     read.continuation(ReadResult(None, Version(6)))
     assert outbox.take() == [Response(2, 404, None, None)]
