--- a/src/crosscleat/core/model/cloud_calls.py
+++ b/src/crosscleat/core/model/cloud_calls.py
@@ -36,6 +36,7 @@
 
 
 RentalOutcome = Rented | RentalRefused | RentalUnanswered
+"""The outcomes of a rental."""
 
 
 class Rent(msgspec.Struct, frozen=True):
--- a/src/crosscleat/core/model/heartbeats.py
+++ b/src/crosscleat/core/model/heartbeats.py
@@ -7,25 +7,34 @@
 from .ids import Attempt, HeartbeatId, MachineId, TaskId, TypeName, Zone
 
 EXITED = "exited"
+"""The state of an attempt that has ended, with a cause."""
 
 RUNNING = "running"
+"""The state of a task that makes progress."""
 
 FETCHING = "fetching"
+"""The state of a task whose image is being fetched."""
 
 WAITING = "waiting"
 """The state of a gang's task that has its image and waits for the others."""
 
 SAVING = "saving"
+"""The state of a stopped task that saves its progress."""
 
 STATES = frozenset((EXITED, RUNNING, FETCHING, WAITING, SAVING))
+"""The states that this version knows."""
 
 DONE = "done"
+"""The cause of the end of a completed task."""
 
 STOPPED = "stopped"
+"""The cause of the end of a task that was stopped by an order."""
 
 ERROR = "error"
+"""The cause of the end of a task that failed."""
 
 NO_CAPACITY = "no_room"
+"""The cause of the end of a start that the worker refused for lack of capacity."""
 
 GANG_MEMBER_LOST = "mates_gone"
 """The cause of a task's end when another task of the running gang was lost."""
--- a/src/crosscleat/core/model/ids.py
+++ b/src/crosscleat/core/model/ids.py
@@ -6,18 +6,25 @@
 from typing import NamedTuple, NewType
 
 JobRef = NewType("JobRef", str)
+"""Id of a job, as `job-000412`."""
 
 MachineId = NewType("MachineId", str)
+"""Id of a machine, as the cloud gives it."""
 
 TypeName = NewType("TypeName", str)
+"""Name of a machine type."""
 
 Zone = NewType("Zone", str)
+"""Name of a zone."""
 
 Team = NewType("Team", str)
+"""Name of a team."""
 
 Image = NewType("Image", str)
+"""Name of a container image."""
 
 Member = NewType("Member", str)
+"""Name of a controller."""
 
 Version = NewType("Version", int)
 """Revision of a key's last change in the store; 0 means that the key does not exist."""
@@ -32,6 +39,7 @@
 """Incarnation of a worker: it rises when its lease expires, which ends all its tasks."""
 
 LeaseId = NewType("LeaseId", int)
+"""Id of a lease of the store."""
 
 Seconds = NewType("Seconds", float)
 """Seconds of this process's steady clock: a point in time."""
@@ -68,12 +76,16 @@
 
 
 NO_HEARTBEAT = HeartbeatId(AgentEpoch(0), 0)
+"""Older than every heartbeat."""
 
 LONG_AGO = Seconds(0.0)
+"""A point in time before any event of this process."""
 
 ABSENT = Version(0)
+"""The version of a key that does not exist."""
 
 NO_TOKEN = Token(0)
+"""Lower than every fencing token."""
 
 
 def is_job_ref(text: str) -> bool:
--- a/src/crosscleat/core/model/store_calls.py
+++ b/src/crosscleat/core/model/store_calls.py
@@ -65,7 +65,9 @@
 
 
 CommitOutcome = Committed | Conflict | NoSuchLease | Unanswered
+"""The outcomes of a compare-and-swap."""
 RenewalOutcome = LeaseRenewed | NoSuchLease | Unanswered
+"""The outcomes of a lease renewal."""
 
 
 class ReadResult(msgspec.Struct, frozen=True):
@@ -94,6 +96,7 @@
 
 
 WatchOutcome = WatchResult | ChangesLost | Unanswered
+"""The outcomes of a watch."""
 
 
 class Commit(msgspec.Struct, frozen=True):
--- a/src/crosscleat/core/model/worker_calls.py
+++ b/src/crosscleat/core/model/worker_calls.py
@@ -33,6 +33,7 @@
 
 
 Order = StartOrder | StopOrder | ClearOrder
+"""What a worker is to do with one attempt."""
 
 
 class DirectReply(msgspec.Struct, frozen=True):
--- a/src/crosscleat/core/state/allocations.py
+++ b/src/crosscleat/core/state/allocations.py
@@ -16,6 +16,7 @@
 from ..model.job_spec import JobSpec
 
 AttemptKey = tuple[TaskId, Attempt]
+"""An attempt on one machine. The same attempt of a gang's task may be on two machines in turn."""
 
 
 @dataclass(slots=True)
--- a/src/crosscleat/core/state/decommission_records.py
+++ b/src/crosscleat/core/state/decommission_records.py
@@ -16,6 +16,7 @@
 """Upper bound for a machine id in a record."""
 
 MAX_NAMES = 300
+"""Machine ids in one record, even where its value could have more."""
 
 
 class StoredDecommissions(msgspec.Struct, frozen=True):
--- a/src/crosscleat/core/state/gangs.py
+++ b/src/crosscleat/core/state/gangs.py
@@ -20,6 +20,7 @@
 from .machine import Machine
 
 Placed = tuple[Machine, Allocation]
+"""A placed task: its machine, and what it takes there."""
 
 REPLACEABLE = (None, heartbeats.NO_CAPACITY, heartbeats.STOPPED)
 """Causes of a task's end after which the attempt may still be completed by a replacement."""
--- a/src/crosscleat/core/state/jobs.py
+++ b/src/crosscleat/core/state/jobs.py
@@ -32,6 +32,7 @@
 )
 
 NO_ATTEMPT = Attempt(0)
+"""The number before that of the first attempt."""
 
 
 @dataclass(slots=True)
--- a/src/crosscleat/core/state/machine.py
+++ b/src/crosscleat/core/state/machine.py
@@ -23,8 +23,10 @@
 from .image_cache import ImageCache
 
 NEVER_ANSWERED = Seconds(-math.inf)
+"""`Machine.last_response_at` before the first response."""
 
 UNKNOWN_TYPE = MachineType(TypeName(""), 0.0, 0.0, 0.0, 0.0, 1.0, 0.0, 0.0, 0.0, ())
+"""The type of a machine whose type is not known, or not yet: it has no capacity."""
 
 NOWHERE = Zone("")
 """The zone of a machine that only a record has named so far."""
