--- a/tests/test_cycle.py
+++ b/tests/test_cycle.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -179,15 +180,19 @@
     assert [c.machine for c in plan_cycle([make_job("job-1", tasks=1)], fleet)] == ["m-399"]
 
 
-def test_the_last_of_a_teams_quota_is_for_its_urgent_work() -> None:
+@pytest.mark.parametrize(("priority", "count"), [(Priority.NORMAL, 13), (Priority.HIGH, 14)])
+def test_the_last_of_a_teams_quota_is_for_its_urgent_work(priority: Priority, count: int) -> None:
     fleet = [make_machine(f"m-{n}") for n in range(8)]
-    for priority, count in ((Priority.NORMAL, 13), (Priority.HIGH, 14)):
-        many = make_job("job-1", tasks=40, cpus=1.0, memory_gb=0.1, priority=priority)
-        assert len(plan_cycle([many], fleet, reserve=1.0)) == count, "red may use 14 CPUs"
+    many = make_job("job-1", tasks=40, cpus=1.0, memory_gb=0.1, priority=priority)
 
+    assert len(plan_cycle([many], fleet, reserve=1.0)) == count, "red may use 14 CPUs"
+
+
+def test_a_reserve_larger_than_the_quota_keeps_no_job_from_starting() -> None:
+    fleet = [make_machine(f"m-{n}") for n in range(8)]
     alone = make_job("job-1", tasks=1, cpus=8.0, team=Team("red"))
 
-    assert len(plan_cycle([alone], fleet, reserve=20.0)) == 1, "but no job is kept from starting"
+    assert len(plan_cycle([alone], fleet, reserve=20.0)) == 1
 
 
 def test_late_work_starts_among_ever_new_work_of_higher_value() -> None:
@@ -206,7 +211,10 @@
     )
 
 
-def test_no_job_waits_for_long_while_a_machine_has_free_capacity_for_it() -> None:
+@pytest.mark.parametrize(("reserve", "failed"), [(0.0, False), (20.0, False), (0.0, True)])
+def test_no_job_waits_for_long_while_a_machine_has_free_capacity_for_it(
+    reserve: float, failed: bool
+) -> None:
     """It may use all free capacity that there is.
 
     Neither what is kept for large tasks, nor what is left to urgent work, nor a failure there
@@ -216,18 +224,20 @@
     large.submitted = Seconds(NOW - 70.0)
     kept = make_machine("m-0")
     kept.used_cpus = 4.0
-    for reserve, failed in ((0.0, False), (20.0, False), (0.0, True)):
-        small = make_job("job-small", tasks=3, cpus=1.0, priority=Priority.LOW)
-        if failed:
-            small.failed_on = {kept.id}
-        others = [large] if not failed else []
-        fleet = [kept, make_machine("m-1")] if failed else [kept]
-        fleet[-1].used_cpus = 4.0 if len(fleet) == 1 else 8.0
-        small.submitted = Seconds(NOW - 59.0)
-        assert plan_cycle([*others, small], fleet, reserve=reserve) == []
-        small.submitted = Seconds(NOW - 61.0)
-        (assignment,) = plan_cycle([*others, small], fleet, reserve=reserve)
-        assert assignment == Assignment(small.ref, kept.id), "one of its tasks"
-        # It counts from when the last of its tasks left its machine.
-        small.idle_since = Seconds(NOW - 30.0)
-        assert plan_cycle([*others, small], fleet, reserve=reserve) == []
+    small = make_job("job-small", tasks=3, cpus=1.0, priority=Priority.LOW)
+    if failed:
+        small.failed_on = {kept.id}
+    others = [large] if not failed else []
+    fleet = [kept, make_machine("m-1")] if failed else [kept]
+    fleet[-1].used_cpus = 4.0 if len(fleet) == 1 else 8.0
+
+    small.submitted = Seconds(NOW - 59.0)
+    assert plan_cycle([*others, small], fleet, reserve=reserve) == []
+
+    small.submitted = Seconds(NOW - 61.0)
+    (assignment,) = plan_cycle([*others, small], fleet, reserve=reserve)
+    assert assignment == Assignment(small.ref, kept.id), "one of its tasks"
+
+    # It counts from when the last of its tasks left its machine.
+    small.idle_since = Seconds(NOW - 30.0)
+    assert plan_cycle([*others, small], fleet, reserve=reserve) == []
--- a/tests/test_interruptions.py
+++ b/tests/test_interruptions.py
@@ -5,6 +5,8 @@
 from random import Random
 from typing import Any
 
+import pytest
+
 from crosscleat.core.capacity.capacity_targets import CpuUse
 from crosscleat.core.capacity.demand import Demand
 from crosscleat.core.capacity.fleet import Fleet
@@ -70,19 +72,22 @@
     assert before < stats.rate <= before + MAX_AT_ONCE / 10_000.0
 
 
-def test_work_at_risk_takes_on_demand_machines_and_leaves_spot_ones_to_other_work() -> None:
+@pytest.mark.parametrize(("at_risk", "expected"), [(True, "m-on-demand"), (False, "m-spot")])
+def test_work_at_risk_takes_on_demand_machines_and_leaves_spot_ones_to_other_work(
+    at_risk: bool, expected: str
+) -> None:
     machines = [
         Machine(MachineId(f"m-{'spot' if spot else 'on-demand'}"), TYPES[1], Zone("a"), spot)
         for spot in (True, False)
     ]
-    for at_risk, expected in ((True, "m-on-demand"), (False, "m-spot")):
-        one_job = Job(job("job-1", tasks=1), Version(1), NOW)
-        one_job.at_risk = at_risk
-        scorer = Scorer(deployment("c0"), RunTimes())
-        planned = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1)).plan(
-            [one_job], machines, 9
-        )
-        assert [choice.machine for choice in planned] == [expected]
+    one_job = Job(job("job-1", tasks=1), Version(1), NOW)
+    one_job.at_risk = at_risk
+    scorer = Scorer(deployment("c0"), RunTimes())
+    cycle = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1))
+
+    planned = cycle.plan([one_job], machines, 9)
+
+    assert [assignment.machine for assignment in planned] == [expected]
 
 
 def test_on_demand_machines_are_kept_for_work_that_is_nearly_always_at_risk() -> None:
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("fault", ["none", "crashes", "outage", "late", "cut"])
-def test_controllers_change_one_after_the_other_amid_troubles(seed: int, fault: str) -> None:
+def test_controllers_change_one_after_the_other_amid_faults(seed: int, fault: str) -> None:
     world = busy_world(seed)
     if fault == "late":
         world.late_writes = world.duplicates = 0.3
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -61,6 +61,14 @@
     return jobs, machines
 
 
+def a_thousand_jobs() -> list[Job]:
+    """Jobs of one task each that have waited for a while."""
+    return [
+        Job(job(f"job-{n}", tasks=1, cpus=4.0), Version(1), Seconds(NOW - 50.0))
+        for n in range(1_000)
+    ]
+
+
 def counted(monkeypatch: pytest.MonkeyPatch, cls: type, name: str) -> list[int]:
     """Counts the calls of a method."""
     calls = [0]
@@ -112,10 +120,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # hunt-d090-3: cycles for 800 jobs of one task took the leader longer than their interval.
-    jobs = [
-        Job(job(f"job-{n}", tasks=1, cpus=4.0), Version(1), Seconds(NOW - 50.0))
-        for n in range(1_000)
-    ]
+    jobs = a_thousand_jobs()
     machines = [Machine(MachineId(f"m-{n}"), TYPES[1], Zone("a"), True) for n in range(200)]
     ranked = counted(monkeypatch, Feasibility, "admits")
     scorer = Scorer(deployment("c0"), RunTimes())
@@ -133,10 +138,7 @@
 ) -> None:
     # hunt-d090-3: each second 800 jobs were compared with 16 machine types in turn; under that
     # load several leaders lost their leases.
-    jobs = [
-        Job(job(f"job-{n}", tasks=1, cpus=4.0), Version(1), Seconds(NOW - 50.0))
-        for n in range(1_000)
-    ]
+    jobs = a_thousand_jobs()
     priced = counted(monkeypatch, PoolCatalog, "cheapest_for_job")
     types = {machine_type.name: machine_type for machine_type in TYPES}
     fleet = Fleet(TuningOptions(), types, FixedTarget(60.0))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -5,6 +5,7 @@
 from random import Random
 
 import msgspec
+import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -114,17 +115,19 @@
     assert election.leader == "c1"
 
 
-def test_what_production_says_of_an_ended_job_is_answered() -> None:
-    for cancelled, status in ((False, "done"), (True, "aborted")):
-        requests, outbox = user_requests()
-        requests.cancel(1, JobRef("job-000412"))
-        only(outbox, Read).continuation(ReadResult(None, Version(8)))
-        record = {"tasks": 3, "aborted": cancelled}
-        item = Item("ended/job-000412", record, Version(7))
-        only(outbox, Read).continuation(ReadResult(item, Version(8)))
-        answer = only_response(outbox)
-        assert answer.status == 200
-        assert answer.body["status"] == status
+@pytest.mark.parametrize(("cancelled", "status"), [(False, "done"), (True, "aborted")])
+def test_what_production_says_of_an_ended_job_is_answered(cancelled: bool, status: str) -> None:
+    record = {"tasks": 3, "aborted": cancelled}
+    item = Item("ended/job-000412", record, Version(7))
+    requests, outbox = user_requests()
+
+    requests.cancel(1, JobRef("job-000412"))
+    only(outbox, Read).continuation(ReadResult(None, Version(8)))
+    only(outbox, Read).continuation(ReadResult(item, Version(8)))
+
+    answer = only_response(outbox)
+    assert answer.status == 200
+    assert answer.body["status"] == status
 
 
 def test_what_is_written_before_all_have_changed_is_as_production_writes_it() -> None:
--- a/tests/test_user_requests.py
+++ b/tests/test_user_requests.py
@@ -5,6 +5,7 @@
 from typing import Any
 
 import msgspec
+import pytest
 
 from crosscleat.core.control.user_requests import UserRequests
 from crosscleat.core.model.effects import Delay, Outbox, Response
@@ -51,20 +52,24 @@
     assert len(msgspec.json.encode(put.value)) < 1000
 
 
-def test_what_can_never_run_is_refused_only_if_it_is_not_known() -> None:
-    for changes in ({"team": "green"}, {"cpus": 9.0}, {"cpus": 8.5, "team": "blue"}, {"zone": "x"}):
-        (read,) = submit(**changes)
-        assert isinstance(read, Scan), "a repeat of an accepted job must never get 422"
+@pytest.mark.parametrize(
+    "changes", [{"team": "green"}, {"cpus": 9.0}, {"cpus": 8.5, "team": "blue"}, {"zone": "x"}]
+)
+def test_what_can_never_run_is_refused_only_if_it_is_not_known(changes: dict[str, Any]) -> None:
+    (read,) = submit(**changes)
+
+    assert isinstance(read, Scan), "a repeat of an accepted job must never get 422"
 
 
-def test_a_gang_over_its_teams_quota_is_rejected() -> None:
+@pytest.mark.parametrize(
+    ("shape", "tasks", "accepted"),
+    [(Shape.ARRAY, 8, True), (Shape.GANG, 8, False), (Shape.GANG, 7, True)],
+)
+def test_a_gang_over_its_teams_quota_is_rejected(shape: Shape, tasks: int, accepted: bool) -> None:
     """A job array may run one task at a time; all tasks of a gang must fit the quota of 14 CPUs."""
-    for shape, accepted in ((Shape.ARRAY, True), (Shape.GANG, False)):
-        (effect,) = submit(tasks=8, cpus=2.0, shape=shape)
-        assert isinstance(effect, Commit) == accepted
-    (effect,) = submit(tasks=7, cpus=2.0, shape=Shape.GANG)
+    (effect,) = submit(tasks=tasks, cpus=2.0, shape=shape)
 
-    assert isinstance(effect, Commit)
+    assert isinstance(effect, Commit) == accepted
 
 
 def test_without_machine_types_nothing_is_decided() -> None:
