--- a/src/crosscleat/core/control/assembly.py
+++ b/src/crosscleat/core/control/assembly.py
@@ -7,9 +7,10 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from random import Random
 
+import msgspec
+
 from ..capacity.decommissioning import Decommissioner
 from ..capacity.deletions import Deletions
 from ..capacity.fleet import Fleet
@@ -73,8 +74,7 @@
         self.pending = PendingWork()
 
 
-@dataclass(frozen=True)
-class _MachineParts:
+class _MachineParts(msgspec.Struct, frozen=True):
     attempts: Attempts
     decommissioner: Decommissioner
     contact: WorkerContact
@@ -86,8 +86,7 @@
     deletions: Deletions
 
 
-@dataclass(frozen=True)
-class _PlanningParts:
+class _PlanningParts(msgspec.Struct, frozen=True):
     placer: Placer
     gangs: GangControl
     evacuation: Evacuation
@@ -95,16 +94,14 @@
     autoscaler: Autoscaler
 
 
-@dataclass(frozen=True)
-class _WorkerParts:
+class _WorkerParts(msgspec.Struct, frozen=True):
     task_statuses: TaskStatuses
     heartbeat_processing: HeartbeatProcessing
     heartbeat_receiver: HeartbeatReceiver
     commands: Commands
 
 
-@dataclass(frozen=True)
-class _JobParts:
+class _JobParts(msgspec.Struct, frozen=True):
     job_changes: JobChanges
     progress: Progress
     write_outcomes: WriteOutcomes
--- a/src/crosscleat/core/control/job_watch.py
+++ b/src/crosscleat/core/control/job_watch.py
@@ -7,7 +7,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+
+import msgspec
 
 from ..election.term import LeadingTerm
 from ..model.effects import Delay, Outbox
@@ -33,8 +34,7 @@
 """What a takeover reads, in this order; ended jobs are not read."""
 
 
-@dataclass(frozen=True, slots=True)
-class StoredState:
+class StoredState(msgspec.Struct, frozen=True):
     """What earlier leaders left in the store, as a takeover has read it."""
 
     live: ScanResult
--- a/src/crosscleat/core/control/status_queries.py
+++ b/src/crosscleat/core/control/status_queries.py
@@ -8,7 +8,8 @@
 
 from collections import OrderedDict
 from collections.abc import Callable
-from dataclasses import dataclass
+
+import msgspec
 
 from ..model.effects import Delay, Outbox, Response
 from ..model.ids import LONG_AGO, JobRef, Seconds
@@ -27,8 +28,7 @@
 """Least time between two refreshes: it bounds our part of the store's requests."""
 
 
-@dataclass(frozen=True, slots=True)
-class StatusQuery:
+class StatusQuery(msgspec.Struct, frozen=True):
     """A question about a job; `unknown_status` is the answer if nobody submitted it."""
 
     request: int
--- a/src/crosscleat/core/model/deployment.py
+++ b/src/crosscleat/core/model/deployment.py
@@ -2,14 +2,15 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import dataclass
+
+import msgspec
 
 from .ids import Member, Team
 from .job_spec import JobSpec, Priority, Shape
 
 
-@dataclass(frozen=True, slots=True)
-class TeamLimits:
+class TeamLimits(msgspec.Struct, frozen=True):
     """What a team is guaranteed, and what it may use at most; a maximum of 0 means no limit."""
 
     name: Team
@@ -19,8 +20,7 @@
     gpus_max: float
 
 
-@dataclass(frozen=True, slots=True)
-class Objective:
+class Objective(msgspec.Struct, frozen=True):
     """A service-level objective from the settings."""
 
     kind: str
@@ -47,8 +47,7 @@
     silence_leases: float = 0.5
 
 
-@dataclass(frozen=True, slots=True)
-class Deployment:
+class Deployment(msgspec.Struct, frozen=True):
     """The settings that decisions depend on."""
 
     member: Member
@@ -70,7 +69,7 @@
     """KiB per value: the state service's lower limit of now and later."""
     txn_ops: int
     """Writes per transaction: the state service's lower limit of now and later (`state.next`)."""
-    tuning: TuningOptions = field(default_factory=TuningOptions)
+    tuning: TuningOptions = msgspec.field(default_factory=TuningOptions)
 
     @property
     def silent_s(self) -> float:
