--- a/tests/test_commit_queue.py
+++ b/tests/test_commit_queue.py
@@ -1,4 +1,4 @@
-"""Group commit: which transactions share a request, and what each is told."""
+"""Group commit: which transactions share a request, and the outcome of each."""
 
 from __future__ import annotations
 
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -1,4 +1,4 @@
-"""One controller's election by itself: the test answers for the store."""
+"""The election of one controller on its own; the test plays the store."""
 
 from __future__ import annotations
 
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -40,7 +40,9 @@
 
 @seeds
 @pytest.mark.parametrize("apart_s", [0.02, 0.3, 4.0])
-def test_controllers_hand_over_and_back_all_end_and_one_returns(seed: int, apart_s: float) -> None:
+def test_two_failovers_then_all_controllers_crash_and_one_restarts(
+    seed: int, apart_s: float
+) -> None:
     world = world_of(seed)
     for _ in range(2):
         world.end_leader(0.05)
@@ -112,7 +114,7 @@
 
 @seeds
 @pytest.mark.parametrize("after_s", [0.0, 0.05, 1.0])
-def test_cancelled_as_the_store_refuses_the_leader_and_is_then_out(
+def test_a_cancellation_while_the_store_refuses_the_leader_before_an_outage(
     seed: int, after_s: float
 ) -> None:
     world = world_of(seed, estimate_s=90.0)
@@ -152,7 +154,7 @@
 
 @seeds
 @pytest.mark.parametrize("outage_s", [0.0, 40.0])
-def test_leaders_change_ten_times_in_two_minutes(seed: int, outage_s: float) -> None:
+def test_ten_failovers_in_two_minutes(seed: int, outage_s: float) -> None:
     world = world_of(seed, estimate_s=20.0)
     world.duplicates = 0.2
     for number in range(10):
@@ -249,7 +251,7 @@
 
 @seeds
 @pytest.mark.parametrize("hang_s", [0.0, 6.0, LEASE_S + 3.0])
-def test_commands_held_up_for_seconds_and_the_machine_goes_on(seed: int, hang_s: float) -> None:
+def test_commands_delayed_for_seconds_while_the_machine_continues(seed: int, hang_s: float) -> None:
     world = world_of(seed, jobs=2, estimate_s=8.0)
     world.flaky = 0.5
     for number in range(2, 7):
@@ -264,7 +266,7 @@
 
 @seeds
 @pytest.mark.parametrize("mode", ["hold", "reset"])
-def test_cancelled_through_the_successor_of_a_leader_without_store_and_peers(
+def test_a_cancellation_through_the_successor_of_a_leader_without_store_and_peers(
     seed: int, mode: str
 ) -> None:
     world = world_of(seed, estimate_s=90.0)
@@ -314,7 +316,7 @@
 
 @seeds
 @pytest.mark.parametrize("away_s", [LEASE_S - 1.0, LEASE_S + 6.0, CANCEL_S + LEASE_S])
-def test_all_controllers_are_away(seed: int, away_s: float) -> None:
+def test_all_controllers_are_down(seed: int, away_s: float) -> None:
     world = world_of(seed, estimate_s=40.0)
     world.users.cancel("job-0")
     world.clock.advance(0.3)
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -77,7 +77,7 @@
 
 
 @given(works, st.data())
-def test_a_field_that_is_missing_or_makes_no_sense_is_malformed(
+def test_a_body_with_a_missing_or_invalid_field_is_malformed(
     work: dict[str, Any], data: st.DataObject
 ) -> None:
     required = sorted(set(work) - {"rigs", "yard", "due_s"})
--- a/tests/test_outage_after_partition.py
+++ b/tests/test_outage_after_partition.py
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("until_out_s", [0.5, 2.0])
-def test_what_nobody_cancelled_runs_on_as_long_as_the_rule_allows(until_out_s: float) -> None:
+def test_tasks_that_nobody_cancelled_run_as_long_as_the_rule_allows(until_out_s: float) -> None:
     world = at_work(estimate_s=200.0, for_s=20.0)
     world.cloud_down = True
     gap(world, until_out_s, CANCEL_S, [])
@@ -115,7 +115,7 @@
     assert running(world, "job-long") == 3
 
 
-def test_contact_regained_by_a_renewal_alone_allows_no_more() -> None:
+def test_contact_by_a_lease_renewal_alone_extends_no_worker_lease() -> None:
     """After an outage the leader lease is valid at once; the cancellations are still unread."""
     world = at_work(estimate_s=200.0, for_s=20.0)
     world.cloud_down = True
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -323,7 +323,7 @@
 )
 
 
-def test_a_quiet_world_does_its_work() -> None:
+def test_jobs_finish_in_a_world_without_faults() -> None:
     world = World(1)
     world.clock.advance(3.0)
     for number in range(5):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -91,7 +91,7 @@
     ),
     st.sampled_from([None, -1, "", "x", [], float("nan")]),
 )
-def test_what_is_missing_or_makes_no_sense_is_named(place: Any, value: Any) -> None:
+def test_a_missing_or_invalid_setting_is_named(place: Any, value: Any) -> None:
     path, name = place
     missing, senseless = copy.deepcopy(GOOD), copy.deepcopy(GOOD)
     del at(missing, path)[name]
@@ -123,7 +123,7 @@
         },
     )
 )
-def test_the_tighter_of_the_limits_now_and_later_holds(later: dict[str, float]) -> None:
+def test_the_tighter_of_the_present_and_the_next_limits_holds(later: dict[str, float]) -> None:
     raw = copy.deepcopy(GOOD)
     now = raw["settings"]["state"]
     raw["settings"]["state"] = {**now, "next": later}
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -189,7 +189,7 @@
 
 
 @SIZES
-def test_what_is_looked_at_in_a_second_does_not_grow_with_machines(
+def test_the_machines_looked_at_per_second_do_not_grow_with_their_number(
     monkeypatch: pytest.MonkeyPatch, machines: int
 ) -> None:
     # With 4,000 machines a tick, ten times a second, took a tenth of what it may take at 43% of a
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -74,7 +74,7 @@
         one_job.finish(index)
 
 
-def test_what_production_wrote_is_read() -> None:
+def test_records_and_messages_of_production_are_read() -> None:
     assert spec_of(LIVE_394DFE6) == SPEC
 
     jobs = {
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize(("cancelled", "status"), [(False, "done"), (True, "aborted")])
-def test_what_production_says_of_an_ended_job_is_answered(cancelled: bool, status: str) -> None:
+def test_an_ended_job_that_production_recorded_is_answered(cancelled: bool, status: str) -> None:
     record = {"tasks": 3, "aborted": cancelled}
     item = Item("ended/job-000412", record, Version(7))
     requests, outbox = user_requests()
@@ -130,7 +130,7 @@
     assert answer.body["status"] == status
 
 
-def test_what_is_written_before_all_have_changed_is_as_production_writes_it() -> None:
+def test_records_and_messages_have_productions_form_until_all_have_changed() -> None:
     record = msgspec.to_builtins(live_record(SPEC, WallTime(1700000000.25), cancelled=False))
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(record)) == LIVE_394DFE6
     assert msgspec.convert(record["spec"], Spec394dfe6).ref == SPEC.ref
