--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -36,6 +36,27 @@
     return world
 
 
+def begin_fault(world: World, fault: str, number: int) -> None:
+    """The fault before the controller of this number changes."""
+    if fault == "crashes":
+        # A controller that crashes before its turn restarts as the old version.
+        world.end_leader(0.3)
+        world.clock.advance(1.0)
+    if fault == "outage" and number == 1:
+        world.store.outage(15.0)
+    if fault == "cut" and number == 1:
+        world.cut_zone("a", "hold")
+
+
+def large_values(world: World) -> list[str]:
+    """The keys of the values that exceed the new limit."""
+    return [
+        key
+        for key, (value, _, _) in world.store.items.items()
+        if len(msgspec.json.encode(value)) > SMALL_KB * 1024
+    ]
+
+
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("fault", ["none", "crashes", "outage", "late", "cut"])
 def test_controllers_change_one_after_the_other_amid_faults(seed: int, fault: str) -> None:
@@ -43,14 +64,7 @@
     if fault == "late":
         world.late_writes = world.duplicates = 0.3
     for number, member in enumerate(MEMBERS):
-        if fault == "crashes":
-            # A controller that crashes before its turn restarts as the old version.
-            world.end_leader(0.3)
-            world.clock.advance(1.0)
-        if fault == "outage" and number == 1:
-            world.store.outage(15.0)
-        if fault == "cut" and number == 1:
-            world.cut_zone("a", "hold")
+        begin_fault(world, fault, number)
         world.upgrade(member, 0.5)
         world.clock.advance(4.0)
         if number == 1:
@@ -73,12 +87,7 @@
     assert world.final_statuses["job-g"] == "done"
     assert world.final_statuses["job-more"] == "done"
 
-    large = [
-        key
-        for key, (value, _, _) in world.store.items.items()
-        if len(msgspec.json.encode(value)) > SMALL_KB * 1024
-    ]
-    assert not large
+    assert not large_values(world)
     assert world.store.too_large <= 1
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -64,6 +64,33 @@
     return state
 
 
+def unplaced(jobs: dict[JobRef, Job], records: PlacementRecords) -> dict[JobRef, Job]:
+    """The same jobs as a new leader has them before it loads these records."""
+    return {
+        ref: Job(one_job.spec, Version(1), NOW, records.chunk_length)
+        for ref, one_job in jobs.items()
+    }
+
+
+def drawn_jobs(
+    sizes: list[int], records: PlacementRecords, data: st.DataObject
+) -> dict[JobRef, Job]:
+    """Jobs of these sizes in the records, some of their tasks placed and some done."""
+    jobs = {JobRef(f"job-{n}"): Job(job(f"job-{n}", tasks=size), Version(1), NOW)
+            for n, size in enumerate(sizes)}  # fmt: skip
+    for one_job in jobs.values():
+        placed = data.draw(st.integers(0, one_job.spec.tasks))
+        spread(records, one_job, placed, data.draw(st.integers(0, placed)))
+    return jobs
+
+
+def finish_first(records: PlacementRecords) -> None:
+    """The placed tasks of the first entry of the first record are done."""
+    (one_job, chunk), *_ = next(iter(records)).entries.values()
+    for index in list(chunk.placed):
+        one_job.finish(index)
+
+
 def spread(records: PlacementRecords, one_job: Job, placed: int, done: int) -> None:
     for _ in range(placed):
         task, _ = one_job.place(MachineId("m-000007"), AgentEpoch(1))
@@ -167,17 +194,10 @@
     sizes: list[int], data: st.DataObject
 ) -> None:
     old = PlacementRecords(16.0, 8, cut=False)
-    before = {JobRef(f"job-{n}"): Job(job(f"job-{n}", tasks=size), Version(1), NOW)
-              for n, size in enumerate(sizes)}  # fmt: skip
-    for one_job in before.values():
-        placed = data.draw(st.integers(0, one_job.spec.tasks))
-        spread(old, one_job, placed, data.draw(st.integers(0, placed)))
+    before = drawn_jobs(sizes, old, data)
     items = stored(old, version=2)
     small = PlacementRecords(SMALL_KB, SMALL_OPS, cut=True)
-    after = {
-        ref: Job(one_job.spec, Version(1), NOW, small.chunk_length)
-        for ref, one_job in before.items()
-    }
+    after = unplaced(before, small)
     small.load(items, after)
     removable = small.take_rewritten()
     # Some records are rewritten, then the leader ends: the next finds both, and the later counts.
@@ -190,16 +210,11 @@
     kept = [item for item in items if item.key not in {key for key, _ in removable}]
     changed = data.draw(st.booleans()) and bool(rewritten)
     if changed:
-        # A task of a rewritten record is done since then.
-        (job_of, chunk), *_ = next(iter(small)).entries.values()
-        for index in list(chunk.placed):
-            job_of.finish(index)
+        # Tasks of a rewritten record are done since then.
+        finish_first(small)
         rewritten[0] = stored(small, version=50)[0]
     third = PlacementRecords(SMALL_KB, SMALL_OPS, cut=True)
-    again = {
-        ref: Job(one_job.spec, Version(1), NOW, third.chunk_length)
-        for ref, one_job in before.items()
-    }
+    again = unplaced(before, third)
     third.load([*kept, *rewritten], again)
     for ref, one_job in again.items():
         one_job.finish_loading()
