--- /dev/null
+++ b/tests/encoded.py
@@ -0,0 +1,58 @@
+"""A job in every form in which it is encoded: literal samples for the tests of encoded forms.
+
+No two numbers or texts have the same value, so that fields which change places are seen; the flags
+are set one at a time.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+
+from crosscleat.core.ids import Image, JobRef, Team, TypeName, Zone
+from crosscleat.core.model import JobSpec, Priority, Shape
+
+
+def pack(value: Any) -> bytes:
+    return msgspec.msgpack.encode(value)
+
+
+def unpack(body: bytes) -> Any:
+    return msgspec.msgpack.decode(body)
+
+
+WORK: dict[str, Any] = {
+    "ref": "job-000412", "jobline": "nightly", "crew": "red", "shape": "ensemble",
+    "urgency": "urgent", "picks": 3, "cores": 2.5, "gpus": 1.5, "memory_gb": 7.5, "kit": "img-9",
+    "image_gb": 0.25, "together": False, "apart": False, "loaners": False, "expect_s": 61.0,
+    "stash_every_s": 20.0, "stash_s": 4.0, "rigs": ["small", "large"], "yard": "north",
+    "due_s": 900.0,
+}  # fmt: skip
+SPEC = JobSpec(
+    ref=JobRef("job-000412"),
+    job_class="nightly",
+    team=Team("red"),
+    priority=Priority.HIGH,
+    tasks=3,
+    cpus=2.5,
+    gpus=1.5,
+    memory_gb=7.5,
+    image=Image("img-9"),
+    image_gb=0.25,
+    types=(TypeName("small"), TypeName("large")),
+    zone=Zone("north"),
+    one_zone=False,
+    spread=False,
+    spot=False,
+    estimate_s=61.0,
+    checkpoint_s=20.0,
+    save_s=4.0,
+    deadline_s=900.0,
+    shape=Shape.GANG,
+)
+STORED_SPEC: list[Any] = [
+    "job-000412", "nightly", "red", 2, 3, 2.5, 1.5, 7.5, "img-9", 0.25, ["small", "large"],
+    "north", False, False, False, 61.0, 20.0, 4.0, 900.0, 1,
+]  # fmt: skip
+LIVE = {"spec": STORED_SPEC, "at": 1700000000.25, "aborted": False}
--- /dev/null
+++ b/tests/test_encoded_forms.py
@@ -0,0 +1,351 @@
+"""Names, tags and positions on the wire, as literal samples.
+
+Python names may change, what is encoded may not. `tests/test_upgrade.py` holds what the version
+in production wrote; here is what it leaves out. In each sample the values of one type differ, so
+that two fields which change places are seen as well. The expected objects are built by keyword:
+a renamed field is renamed here too, and the samples stay as they are.
+"""
+
+from __future__ import annotations
+
+import dataclasses
+from typing import Any, get_args
+
+import msgspec
+import pytest
+
+from crosscleat.core import reports
+from crosscleat.core.effects import (
+    ClearOrder,
+    Commit,
+    Item,
+    Order,
+    Put,
+    Remove,
+    Rent,
+    StartOrder,
+    StopOrder,
+)
+from crosscleat.core.ids import (
+    Attempt,
+    Image,
+    JobRef,
+    LeaseId,
+    MachineId,
+    Seen,
+    Session,
+    TaskId,
+    Team,
+    Token,
+    TypeName,
+    Version,
+    Zone,
+)
+from crosscleat.core.model import MachineType, Priority
+from crosscleat.core.partitioning import JobView, Proposal, RoomView, View
+from crosscleat.core.reports import ListedMachine, Report, TaskReport
+from crosscleat.wire import cloud, peers, state, workers
+
+from .encoded import SPEC, STORED_SPEC, pack, unpack
+
+REPLACE = msgspec.structs.replace
+
+# Workers
+
+CHECK_IN: dict[str, Any] = {
+    "box": "m-000007", "addr": "10.0.0.1:9000", "rig": "small", "yard": "north", "loaners": True,
+    "shift": 3, "tally": 17, "baton": 41, "recall_s": 110.0,
+    "picks": [{"pick": "job-1/4", "try": 2, "status": "exited", "cause": "stopped", "saved": True}],
+}  # fmt: skip
+REPORT = Report(
+    machine=MachineId("m-000007"),
+    address="10.0.0.1:9000",
+    type=TypeName("small"),
+    zone=Zone("north"),
+    spot=True,
+    seen=Seen(session=Session(3), tally=17),
+    token=41,
+    notice_s=110.0,
+    tasks=(
+        TaskReport(
+            task=TaskId(job=JobRef("job-1"), number=4),
+            attempt=Attempt(2),
+            state="exited",
+            cause="stopped",
+            saved=True,
+        ),
+    ),
+)
+STATES = [
+    ("pulling", reports.FETCHING),
+    ("running", reports.RUNNING),
+    ("waiting", reports.WAITING),
+    ("flushing", reports.SAVING),
+    ("exited", reports.EXITED),
+]
+CAUSES = [
+    ("done", reports.DONE),
+    ("stopped", reports.STOPPED),
+    ("error", reports.ERROR),
+    ("no_room", reports.NO_ROOM),
+    ("mates_gone", reports.MATES_GONE),
+    ("incomplete", reports.INCOMPLETE),
+    ("busy", "busy"),
+    ("no_such", "no_such"),
+]
+
+
+def test_every_field_of_a_check_in_is_read() -> None:
+    assert workers.parse_check_in(pack(CHECK_IN)) == REPORT
+
+
+def test_the_optional_fields_of_a_check_in_may_be_missing() -> None:
+    pick = {"pick": "job-1/4", "try": 2, "status": "exited"}
+    body = {name: CHECK_IN[name] for name in CHECK_IN if name != "recall_s"}
+    task = REPLACE(REPORT.tasks[0], cause=None, saved=False)
+    report = REPLACE(REPORT, notice_s=None, tasks=(task,))
+    assert workers.parse_check_in(pack({**body, "picks": [pick]})) == report
+
+
+@pytest.mark.parametrize("name", [name for name in CHECK_IN if name != "recall_s"])
+def test_every_other_field_of_a_check_in_must_be_there(name: str) -> None:
+    body = {other: CHECK_IN[other] for other in CHECK_IN if other != name}
+    assert workers.parse_check_in(pack(body)) is None
+
+
+def report_of(status: str, cause: str | None) -> Report:
+    pick = {"pick": "job-1/4", "try": 2, "status": status, "cause": cause}
+    report = workers.parse_check_in(pack({**CHECK_IN, "picks": [pick]}))
+    assert report is not None
+    return report
+
+
+@pytest.mark.parametrize(("word", "known"), STATES)
+def test_each_state_of_a_task_is_known(word: str, known: str) -> None:
+    report = report_of(word, None)
+    assert report.tasks[0].state == known and not reports.unknown_words(report)
+    assert len(workers.STATES) == len(reports.STATES) == 5
+
+
+@pytest.mark.parametrize(("word", "known"), CAUSES)
+def test_each_cause_of_an_exit_is_known(word: str, known: str) -> None:
+    report = report_of("exited", word)
+    assert report.tasks[0].cause == known and not reports.unknown_words(report)
+    assert len(reports.CAUSES) == 8
+
+
+ORDERS: tuple[Order, ...] = (
+    StartOrder(task="job-1/0", attempt=2),
+    StopOrder(task="job-1/1", attempt=3, grace_s=10.0),
+    ClearOrder(task="job-1/2", attempt=4),
+)
+WRITTEN_ORDERS = (
+    "a66f72646572739383a476657262a57374617274a47069636ba76a6f622d312f30a37472790284a476657262a473"
+    "746f70a47069636ba76a6f622d312f31a374727903ab77696e645f646f776e5f73cb402400000000000083a47665"
+    "7262a5636c656172a47069636ba76a6f622d312f32a374727904"
+)
+
+
+def test_the_answer_to_a_check_in_is_written() -> None:
+    written = workers.answer(Token(41), ORDERS).hex()
+    assert written == "82a56261746f6e29" + WRITTEN_ORDERS
+
+
+def test_a_direct_message_to_a_worker_is_written() -> None:
+    written = workers.direct(Token(41), Session(3), ORDERS).hex()
+    assert written == "83a56261746f6e29a5736869667403" + WRITTEN_ORDERS
+
+
+# Cloud
+
+RIG: dict[str, Any] = {
+    "sku": "small", "cores": 8.0, "memory_gb": 32.0, "price": 0.5, "low_price": 0.2,
+    "yards": ["north", "south"], "gpus": 2.0, "local_gb": 100.0, "pull_gb_per_s": 1.5,
+    "ready_s": 45.0,
+}  # fmt: skip
+KIND = MachineType(
+    name=TypeName("small"),
+    cpus=8.0,
+    gpus=2.0,
+    memory_gb=32.0,
+    cache_gb=100.0,
+    fetch_gb_per_s=1.5,
+    price=0.5,
+    spot_price=0.2,
+    boot_s=45.0,
+    zones=(Zone("north"), Zone("south")),
+)
+BOX: dict[str, Any] = {
+    "ref": "m-000007", "rig": "small", "yard": "north", "loaners": True, "status": "running",
+    "addr": "10.0.0.1:9000", "age_s": 12.5,
+}  # fmt: skip
+LISTED = ListedMachine(
+    id=MachineId("m-000007"),
+    address="10.0.0.1:9000",
+    type=TypeName("small"),
+    zone=Zone("north"),
+    spot=True,
+    state="running",
+    age_s=12.5,
+)
+
+
+def test_machine_types_are_read() -> None:
+    (rig,) = cloud.rigs.decode(pack({"rigs": [RIG]})).rigs
+    assert rig.kind() == KIND
+
+
+def test_the_optional_fields_of_a_machine_type_have_defaults() -> None:
+    optional = ("gpus", "local_gb", "pull_gb_per_s", "ready_s")
+    body = {name: RIG[name] for name in RIG if name not in optional}
+    (rig,) = cloud.rigs.decode(pack({"rigs": [body]})).rigs
+    kind = dataclasses.replace(KIND, gpus=0.0, cache_gb=0.0, fetch_gb_per_s=1.0, boot_s=60.0)
+    assert rig.kind() == kind
+
+
+def test_the_machine_list_is_read() -> None:
+    page = cloud.boxes.decode(pack({"boxes": [BOX], "more": True}))
+    assert [box.machine() for box in page.boxes] == [LISTED] and page.more
+    bare = {name: BOX[name] for name in BOX if name not in ("addr", "age_s")}
+    page = cloud.boxes.decode(pack({"boxes": [bare]}))
+    assert page.boxes[0].machine() == REPLACE(LISTED, address="", age_s=0.0) and not page.more
+
+
+def test_a_rental_is_written_and_its_answer_read() -> None:
+    order = Rent(
+        name="c0-17", type="small", zone="north", spot=True, count=3, then=lambda _names: None
+    )
+    assert unpack(cloud.rent(order)) == {
+        "hire": "c0-17", "rig": "small", "yard": "north", "loaners": True, "number": 3,
+    }  # fmt: skip
+    assert cloud.hired.decode(pack({"boxes": ["m-1", "m-2"]})).boxes == ["m-1", "m-2"]
+
+
+def test_a_deletion_is_written() -> None:
+    assert unpack(cloud.delete(("m-1", "m-2"))) == {"boxes": ["m-1", "m-2"]}
+
+
+# State service
+
+
+def test_a_pair_is_read() -> None:
+    pair = state.pair.decode(pack({"path": "a/b", "data": {"n": 1}, "stamp": 7}))
+    assert pair.item() == Item(key="a/b", value={"n": 1}, version=Version(7))
+
+
+def test_a_page_is_read() -> None:
+    row = {"path": "a/b", "data": 1, "stamp": 7}
+    page = state.page.decode(pack({"pairs": [row], "more": True, "ledger_rev": 9}))
+    assert [pair.item() for pair in page.pairs] == [Item("a/b", 1, Version(7))]
+    assert (page.more, page.ledger_rev) == (True, 9)
+
+
+def test_changes_are_read() -> None:
+    news = [{"set": "a/b", "data": 1, "stamp": 7}, {"delete": "c"}]
+    found = state.changes.decode(pack({"ledger_rev": 9, "news": news}))
+    assert found.ledger_rev == 9
+    assert [change.item() for change in found.news] == [
+        Item(key="a/b", value=1, version=Version(7)),
+        Item(key="c", value=None, version=Version(0)),
+    ]
+    assert state.changes.decode(pack({"ledger_rev": 9})).news == []
+
+
+def test_answers_to_writes_and_grants_are_read() -> None:
+    assert state.revision.decode(pack({"ledger_rev": 9})).ledger_rev == 9
+    assert state.refused.decode(pack({"failed": ["a/b"]})).failed == ["a/b"]
+    assert state.permit.decode(pack({"permit": 5})).permit == 5
+
+
+def test_a_transaction_and_a_grant_are_written() -> None:
+    commit = Commit(
+        conditions=(("a/b", Version(4)),),
+        writes=(Put(key="a/b", value=1, lease=LeaseId(5)), Put(key="d", value=2), Remove(key="c")),
+        then=lambda _result: None,
+    )
+    assert unpack(state.transaction([commit])) == {
+        "if": [{"path": "a/b", "stamp": 4}],
+        "writes": [
+            {"set": "a/b", "data": 1, "permit": 5},
+            {"set": "d", "data": 2},
+            {"delete": "c"},
+        ],
+    }
+    assert unpack(state.grant(3.25)) == {"life_ms": 3250}
+
+
+# Other controllers
+
+VIEW = View(
+    number=7,
+    jobs=(
+        JobView(
+            spec=SPEC,
+            age_s=1.5,
+            waiting=2,
+            failed_on=(MachineId("m-3"), MachineId("m-4")),
+            zones={Zone("north"): 5},
+            at_risk=True,
+        ),
+    ),
+    rooms=(
+        RoomView(
+            machine=MachineId("m-1"),
+            type=TypeName("small"),
+            zone=Zone("south"),
+            spot=True,
+            used_cpus=1.0,
+            used_gpus=2.0,
+            used_memory=3.0,
+            images={Image("img-9"): 4.0},
+            reservation=(JobRef("job-9"), Priority.PRODUCTION, 5.0),
+        ),
+    ),
+    shares={Team("red"): (6.0, 8.0)},
+    reserve=0.5,
+    factors={"nightly": 1.25},
+)
+PLAIN_VIEW: list[Any] = [
+    7,
+    [[STORED_SPEC, 1.5, 2, ["m-3", "m-4"], {"north": 5}, True]],
+    [["m-1", "small", "south", True, 1.0, 2.0, 3.0, {"img-9": 4.0}, ["job-9", 3, 5.0]]],
+    {"red": [6.0, 8.0]},
+    0.5,
+    {"nightly": 1.25},
+]
+MESSAGES: list[tuple[list[Any], peers.Message]] = [
+    (["hello", "c1"], peers.Hello(member="c1")),
+    (["ping", True], peers.Ping(served=True)),
+    (["relay", 3, b"body"], peers.Relay(number=3, body=b"body")),
+    (["relayed", 3, 200, b"body"], peers.Relayed(number=3, status=200, body=b"body")),
+    (["counts", {"job-1": [2, 3]}], peers.Counts(jobs={"job-1": (2, 3)})),
+    (["part", PLAIN_VIEW], peers.Part(view=VIEW)),
+    (
+        ["proposed", [7, [["job-1", "m-1"], ["job-2", "m-2"]]]],
+        peers.Proposed(
+            proposal=Proposal(
+                number=7,
+                choices=(
+                    (JobRef("job-1"), MachineId("m-1")),
+                    (JobRef("job-2"), MachineId("m-2")),
+                ),
+            )
+        ),
+    ),
+    (["probe", "10.0.0.1:9000", 41, 3], peers.Probe(address="10.0.0.1:9000", token=41, session=3)),
+    (["probed", b"body"], peers.Probed(body=b"body")),
+]
+
+
+@pytest.mark.parametrize(("sample", "message"), MESSAGES, ids=[m[0][0] for m in MESSAGES])
+def test_each_message_between_controllers_has_its_tag_and_positions(
+    sample: list[Any], message: peers.Message
+) -> None:
+    assert peers.parse(pack(sample)) == message
+    framed = peers.frame(message)
+    assert framed[:4] == len(pack(sample)).to_bytes(4, "big")
+    assert unpack(framed[4:]) == sample
+
+
+def test_there_is_a_sample_of_each_message() -> None:
+    assert {type(message) for _, message in MESSAGES} == set(get_args(peers.Message))
--- /dev/null
+++ b/tests/test_encoded_jobs.py
@@ -0,0 +1,273 @@
+"""Jobs as users and the store see them, and the other stored records, as literal samples.
+
+`tests/test_encoded_forms.py` says how such samples are made.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+from random import Random
+from typing import Any
+
+import aiohttp
+import msgspec
+import pytest
+
+from crosscleat.adapters.http_server import HttpServer
+from crosscleat.core.effects import (
+    Answer,
+    Commit,
+    Committed,
+    Found,
+    Item,
+    Listing,
+    Outbox,
+    Put,
+    Read,
+    Scan,
+)
+from crosscleat.core.election import Election
+from crosscleat.core.ids import (
+    JobRef,
+    MachineId,
+    Member,
+    Seconds,
+    Version,
+    WallTime,
+)
+from crosscleat.core.jobs import Job, ended_key, ended_record, live_key, live_record, spec_of
+from crosscleat.core.model import JobSpec, Priority, Shape
+from crosscleat.core.records import DropRecords, WorkRecords
+from crosscleat.core.upgrade import Upgrade
+from crosscleat.wire import users
+
+from .effects import answered, only
+from .encoded import LIVE, SPEC, STORED_SPEC, WORK, pack, unpack
+from .test_user_requests import user_requests
+from .world import job
+
+NOW = Seconds(100.0)
+REPLACE = msgspec.structs.replace
+
+# Users
+
+
+def test_every_field_of_a_submission_is_read() -> None:
+    assert users.parse_work(pack(WORK)) == SPEC
+
+
+def test_the_optional_fields_of_a_submission_may_be_missing() -> None:
+    body = {name: WORK[name] for name in WORK if name not in ("rigs", "yard", "due_s")}
+    assert users.parse_work(pack(body)) == REPLACE(SPEC, types=None, zone=None, deadline_s=None)
+
+
+@pytest.mark.parametrize("name", [name for name in WORK if name not in ("rigs", "yard", "due_s")])
+def test_every_other_field_of_a_submission_must_be_there(name: str) -> None:
+    body = {other: WORK[other] for other in WORK if other != name}
+    assert users.parse_work(pack(body)) == (None if name == "ref" else "job-000412")
+
+
+FLAGS = [
+    ("together", 12, REPLACE(SPEC, one_zone=True)),
+    ("apart", 13, REPLACE(SPEC, spread=True)),
+    ("loaners", 14, REPLACE(SPEC, spot=True)),
+]
+URGENCIES = [
+    ("low", 0, Priority.LOW),
+    ("standard", 1, Priority.NORMAL),
+    ("urgent", 2, Priority.HIGH),
+    ("prod", 3, Priority.PRODUCTION),
+]
+SHAPES = [
+    ("array", 0, Shape.ARRAY),
+    ("ensemble", 1, Shape.GANG),
+    ("service", 2, Shape.SERVICE),
+]
+
+
+def assert_read_and_stored(
+    change: dict[str, Any], position: int, value: Any, spec: JobSpec
+) -> None:
+    """The body with this change gives this spec, stored with this value at this position."""
+    stored = [*STORED_SPEC]
+    stored[position] = value
+    assert users.parse_work(pack({**WORK, **change})) == spec
+    assert unpack(pack(spec)) == stored
+    assert spec_of({"spec": stored}) == spec
+
+
+@pytest.mark.parametrize(("name", "position", "spec"), FLAGS)
+def test_each_flag_of_a_submission_has_its_place(name: str, position: int, spec: JobSpec) -> None:
+    assert_read_and_stored({name: True}, position, True, spec)
+
+
+@pytest.mark.parametrize(("word", "number", "priority"), URGENCIES)
+def test_each_urgency_has_its_number(word: str, number: int, priority: Priority) -> None:
+    assert priority.value == number and len(Priority) == 4
+    assert_read_and_stored({"urgency": word}, 3, number, REPLACE(SPEC, priority=priority))
+
+
+@pytest.mark.parametrize(("word", "number", "shape"), SHAPES)
+def test_each_shape_has_its_number(word: str, number: int, shape: Shape) -> None:
+    assert shape.value == number and len(Shape) == 3
+    assert_read_and_stored({"shape": word}, 19, number, REPLACE(SPEC, shape=shape))
+
+
+REF = JobRef("job-000412")
+
+
+def test_an_accepted_job_is_queued() -> None:
+    requests, out = user_requests()
+    requests.submit(1, job("job-000412"), WallTime(1.0))
+    commit = only(out, Commit)
+    assert commit.conditions == (("live/job-000412", 0), ("ended/job-000412", 0))
+    assert [write.key for write in commit.writes] == ["live/job-000412"]
+    commit.then(Committed(Version(8)))
+    answer = answered(out)
+    assert (answer.status, answer.body) == (201, {"ref": "job-000412", "status": "queued"})
+
+
+LIVE_ANSWERS = [
+    (False, (0, 0), {"ref": "job-000412", "status": "queued", "done": 0, "running": 0}),
+    (False, (1, 2), {"ref": "job-000412", "status": "running", "done": 1, "running": 2}),
+    (True, (1, 2), {"ref": "job-000412", "status": "aborted", "done": 1, "running": 2}),
+]
+ENDED_ANSWERS = [
+    (False, {"ref": "job-000412", "status": "done", "done": 3, "running": 0}),
+    (True, {"ref": "job-000412", "status": "aborted", "done": 0, "running": 0}),
+]
+
+
+@pytest.mark.parametrize(("aborted", "progress", "body"), LIVE_ANSWERS)
+def test_a_live_job_is_answered(aborted: bool, progress: tuple[int, int], body: Any) -> None:
+    requests, out = user_requests()
+    requests.progress["job-000412"] = progress
+    requests.poll(1, REF)
+    scan = only(out, Scan)
+    assert scan.prefix == "live/"
+    scan.then(
+        Listing([Item("live/job-000412", {**LIVE, "aborted": aborted}, Version(7))], Version(8))
+    )
+    answer = answered(out)
+    assert (answer.status, answer.body) == (200, body)
+
+
+@pytest.mark.parametrize(("aborted", "body"), ENDED_ANSWERS)
+def test_an_ended_job_is_answered(aborted: bool, body: Any) -> None:
+    requests, out = user_requests()
+    requests.poll(1, REF)
+    only(out, Scan).then(Listing([], Version(8)))
+    read = only(out, Read)
+    assert read.key == "ended/job-000412"
+    item = Item("ended/job-000412", {"tasks": 3, "aborted": aborted}, Version(7))
+    read.then(Found(item, Version(8)))
+    answer = answered(out)
+    assert (answer.status, answer.body) == (200, body)
+
+
+def test_a_cancelled_job_is_answered_and_stored() -> None:
+    requests, out = user_requests()
+    requests.abort(1, REF)
+    read = only(out, Read)
+    assert read.key == "live/job-000412"
+    read.then(Found(Item("live/job-000412", LIVE, Version(7)), Version(8)))
+    commit = only(out, Commit)
+    assert commit.conditions == (("live/job-000412", 7),)
+    (write,) = commit.writes
+    assert isinstance(write, Put) and write.key == "live/job-000412"
+    assert unpack(pack(write.value)) == {**LIVE, "aborted": True}
+    commit.then(Committed(Version(9)))
+    assert answered(out).body == {"ref": "job-000412", "status": "aborted"}
+
+
+async def _get(answer: Answer) -> tuple[int, bytes]:
+    async def ask(_make: Callable[[int], Any]) -> Answer | None:
+        return answer
+
+    async def check_in(body: bytes) -> tuple[int, bytes]:
+        return 200, body
+
+    with socket.socket() as free:
+        free.bind(("127.0.0.1", 0))
+        address = f"127.0.0.1:{free.getsockname()[1]}"
+    await HttpServer(ask, check_in, lambda: True, 10).start(address)
+    async with (
+        aiohttp.ClientSession() as session,
+        session.get(f"http://{address}/work/job-000412") as response,
+    ):
+        return response.status, await response.read()
+
+
+def test_users_answers_are_msgpack() -> None:
+    body = {"ref": "job-1", "status": "running", "done": 1, "running": 2}
+    status, written = asyncio.run(_get(Answer(1, 200, body)))
+    assert status == 200
+    assert written.hex() == (
+        "84a3726566a56a6f622d31a6737461747573a772756e6e696e67a4646f6e6501a772756e6e696e6702"
+    )
+
+
+# Stored records
+
+
+def test_a_live_record_is_stored_under_its_key() -> None:
+    assert live_key(REF) == "live/job-000412"
+    record = live_record(SPEC, WallTime(1700000000.25), aborted=False)
+    assert unpack(pack(record)) == LIVE
+    assert spec_of(LIVE) == SPEC
+
+
+def test_an_ended_record_is_stored_under_its_key() -> None:
+    assert ended_key(REF) == "ended/job-000412"
+    assert ended_record(tasks=3, aborted=True) == {"tasks": 3, "aborted": True}
+
+
+def test_records_of_deletions_are_read_and_written() -> None:
+    drops = DropRecords(16.0)
+    stored = {"machines": ["m-1", "m-2"]}
+    assert drops.load([Item("drop/4", stored, Version(2))]) == ["m-1", "m-2"]
+    record, _ = drops.open()
+    more = {"machines": ["m-1", "m-2", "m-3"]}
+    assert record.put([MachineId("m-3")]) == Put("drop/4", more)
+
+
+SHORT_CHUNKS = {
+    "jobs": [
+        ["job-000412", 0, [[0, 1]], [[1, 4], [2, 5, "m-000231", 6]]],
+        ["job-000412", 1, [[42, 44], [45, 46]], [[46, 7, "m-000007", 8]]],
+    ],
+    "span": 42,
+}
+
+
+def test_short_chunks_are_read_and_written_with_their_length() -> None:
+    one = Job(REPLACE(SPEC, tasks=47), Version(3), NOW, 42)
+    records = WorkRecords(value_kb=2.0, txn_ops=5, cut=True)
+    records.load([Item("work/7", SHORT_CHUNKS, Version(5))], {REF: one})
+    (record,) = records
+    assert (record.key, record.value()) == ("work/7", SHORT_CHUNKS)
+    assert [index for index in range(47) if one.done[index]] == [0, 42, 43, 45]
+    assert one.chunks[0].tries == {1: 4, 2: 5}
+    placement = one.chunks[1].placed[46]
+    assert (placement.attempt, placement.machine, placement.session) == (7, "m-000007", 8)
+
+
+def test_a_controller_puts_the_number_of_its_format() -> None:
+    out = Outbox()
+    Upgrade(Member("c0"), (Member("c0"),), out, lambda: None).begin()
+    commit = only(out, Commit)
+    assert commit.conditions == (("format/c0", 0),)
+    assert commit.writes == (Put("format/c0", {"version": 2}),)
+    commit.then(Committed(Version(8)))
+    assert only(out, Scan).prefix == "format/"
+
+
+def test_the_leader_is_looked_up_under_its_key() -> None:
+    out = Outbox()
+    Election(
+        Member("c1"), "0123456789abcdef", out, Random(1), lambda: NOW,
+        lambda _delay, _then: None, lambda _token: None, lambda _why: None,
+    ).begin()  # fmt: skip
+    assert only(out, Read).key == "leader"
