--- a/src/crosscleat/adapters/http_server.py
+++ b/src/crosscleat/adapters/http_server.py
@@ -11,21 +11,21 @@
 from aiohttp import web
 from aiohttp.web_protocol import RequestHandler
 
-from ..core.model.effects import Answer
+from ..core.model.effects import Response
 from ..core.model.ids import JobRef, is_job_ref
-from ..core.model.inputs import Abort, Poll, Refuse, Submit
+from ..core.model.inputs import CancelJob, QueryJob, RejectJob, SubmitJob
 from ..core.model.job_spec import JobSpec
 from ..wire import users as wire
 
 BODY_S = 5.0
-WORK = "/work/"
+WORK_PATH = "/work/"
 ABORT = "/abort"
 
 log = logging.getLogger("crosscleat.http")
 
-UserInput = Submit | Poll | Abort | Refuse
-Ask = Callable[[Callable[[int], UserInput]], Awaitable[Answer | None]]
-CheckIn = Callable[[bytes], Awaitable[tuple[int, bytes]]]
+UserInput = SubmitJob | QueryJob | CancelJob | RejectJob
+Ask = Callable[[Callable[[int], UserInput]], Awaitable[Response | None]]
+HeartbeatHandler = Callable[[bytes], Awaitable[tuple[int, bytes]]]
 
 _encoder = msgspec.msgpack.Encoder()
 
@@ -53,10 +53,12 @@
 class HttpServer:
     """One door for all: it tells requests apart, bounds them, and asks the controller."""
 
-    def __init__(self, ask: Ask, check_in: CheckIn, ready: Callable[[], bool], most: int) -> None:
+    def __init__(
+        self, ask: Ask, receive_heartbeat: HeartbeatHandler, ready: Callable[[], bool], most: int
+    ) -> None:
         self._ready = ready
         self._ask = ask
-        self._check_in = check_in
+        self._receive_heartbeat = receive_heartbeat
         self._most = most
         self._server = web.Server(self._handle)
         self._open: dict[Connection, None] = {}
@@ -105,10 +107,10 @@
             body = await _body(request)
             if body is None:
                 return _closing(400)
-            status, answer = await self._check_in(body)
+            status, answer = await self._receive_heartbeat(body)
             return web.Response(status=status, body=answer)
-        if path.startswith(WORK):
-            return await self._job(request, method, path.removeprefix(WORK))
+        if path.startswith(WORK_PATH):
+            return await self._job(request, method, path.removeprefix(WORK_PATH))
         if path == "/work" and method == "POST":
             body = await _body(request)
             if body is None:
@@ -122,19 +124,19 @@
         parsed = wire.parse_work(body)
         if isinstance(parsed, JobSpec):
             spec = parsed
-            return await self._answer(lambda number: Submit(number, spec))
+            return await self._answer(lambda number: SubmitJob(number, spec))
         ref = parsed
-        return await self._answer(lambda number: Refuse(number, ref, 400))
+        return await self._answer(lambda number: RejectJob(number, ref, 400))
 
     async def _job(self, request: web.BaseRequest, method: str, name: str) -> web.Response:
         if method == "GET" and is_job_ref(name):
-            return await self._answer(lambda number: Poll(number, JobRef(name)))
+            return await self._answer(lambda number: QueryJob(number, JobRef(name)))
         if method == "POST" and name.endswith(ABORT):
             if await _body(request) is None:
                 return _closing(400)
             ref = name.removesuffix(ABORT)
             if is_job_ref(ref):
-                return await self._answer(lambda number: Abort(number, JobRef(ref)))
+                return await self._answer(lambda number: CancelJob(number, JobRef(ref)))
         return web.Response(status=404)
 
     async def _answer(self, make: Callable[[int], UserInput]) -> web.Response:
@@ -157,14 +159,14 @@
 
 async def _body(request: web.BaseRequest) -> bytes | None:
     """The request's body, unless it is too long or comes too slowly."""
-    if (request.content_length or 0) > wire.MOST_BYTES:
+    if (request.content_length or 0) > wire.MAX_BYTES:
         return None
     chunks = bytearray()
     try:
         async with asyncio.timeout(BODY_S):
             async for chunk in request.content.iter_any():
                 chunks += chunk
-                if len(chunks) > wire.MOST_BYTES:
+                if len(chunks) > wire.MAX_BYTES:
                     return None
     except TimeoutError:
         return None
--- a/src/crosscleat/adapters/peer_link.py
+++ b/src/crosscleat/adapters/peer_link.py
@@ -20,7 +20,7 @@
 """Longer than the others are away when all end at once and start again."""
 CONNECT_S = 2.0
 RELAY_S = 2.5
-MOST_BUFFERED = 1 << 20
+MAX_BUFFERED = 1 << 20
 
 log = logging.getLogger("crosscleat.peers")
 
@@ -76,7 +76,7 @@
         address: str,
         rng: Random,
         health: Health,
-        gone: Callable[[str], None],
+        peer_unreachable: Callable[[str], None],
     ) -> None:
         self._health = health
         self._member = member
@@ -84,7 +84,7 @@
         host, _, port = address.rpartition(":")
         self._host, self._port = host, int(port)
         self._rng = rng
-        self._gone = gone
+        self._peer_unreachable = peer_unreachable
         self._writer: asyncio.StreamWriter | None = None
         self._waiting: dict[int, asyncio.Future[Answered | None]] = {}
         self._number = 0
@@ -97,7 +97,7 @@
     def send(self, message: wire.Message) -> bool:
         """Queue a message; False: the link is down, its queue is full or the message too long."""
         writer = self._writer
-        if writer is None or writer.transport.get_write_buffer_size() > MOST_BUFFERED:
+        if writer is None or writer.transport.get_write_buffer_size() > MAX_BUFFERED:
             return False
         try:
             writer.write(wire.frame(message))
@@ -131,7 +131,7 @@
                 was_up = await self._connect()
             except ConnectionRefusedError:
                 if was_up:
-                    self._gone(self.peer)
+                    self._peer_unreachable(self.peer)
                 was_up = False
             # Right after a loss at once: whether it refuses tells a crash from a cut.
             await asyncio.sleep(0.02 if was_up else 0.3 + 0.4 * self._rng.random())
@@ -181,13 +181,13 @@
     def __init__(
         self,
         peers: set[str],
-        check_in: Handler,
+        receive_heartbeat: Handler,
         health: Health,
         tell: Callable[[str, wire.Told], None],
     ) -> None:
         self._health = health
         self._peers = peers
-        self._check_in = check_in
+        self._receive_heartbeat = receive_heartbeat
         self._tell = tell
         self._tasks: set[asyncio.Task[None]] = set()
         self._scolded: set[str] = set()
@@ -228,7 +228,7 @@
 
     async def _answer(self, relay: wire.Relay, writer: asyncio.StreamWriter) -> None:
         arrived = steady()
-        status, body = await self._check_in(relay.body)
+        status, body = await self._receive_heartbeat(relay.body)
         # Later than this nobody waits for it any more.
         if steady() - arrived < RELAY_S and not writer.is_closing():
             writer.write(wire.frame(wire.Relayed(relay.number, status, body)))
@@ -236,7 +236,7 @@
 
 async def _receive(reader: asyncio.StreamReader) -> wire.Message:
     size = int.from_bytes(await reader.readexactly(4), "big")
-    if size > wire.MOST_FRAME:
+    if size > wire.MAX_FRAME:
         raise ValueError(f"frame of {size} bytes")
     try:
         return wire.parse(await reader.readexactly(size))
--- a/src/crosscleat/adapters/state_client.py
+++ b/src/crosscleat/adapters/state_client.py
@@ -23,17 +23,17 @@
     Committed,
     Conflict,
     Found,
-    Grant,
+    GrantLease,
     Item,
     Listing,
-    News,
     NoSuchLease,
     Put,
     Read,
-    Revoke,
+    RenewLease,
+    RevokeLease,
     Scan,
-    Touch,
     Watch,
+    WatchResult,
 )
 from ..wire import state as wire
 from .clock import steady
@@ -41,7 +41,7 @@
 
 TRY_S = 1.0
 PAGE = 1000
-MOST_BYTES = 48_000
+MAX_BYTES = 48_000
 REFUSED = (429, 503)
 DOWN_AFTER = 3
 USER_READ_S = 1.5
@@ -200,7 +200,7 @@
                 return Listing(items, Version(first))
             after = page.pairs[-1].path
 
-    async def watch(self, call: Watch) -> News | None:
+    async def watch(self, call: Watch) -> WatchResult | None:
         """Changes below the prefix, as they come; None: no answer."""
         if call.for_user and self._down():
             # No share is counted: how often it is asked for is bounded where it is asked.
@@ -214,28 +214,28 @@
         if response is None:
             return None
         if response[0] == 410:
-            return News(call.after, [], lost=True)
+            return WatchResult(call.after, [], lost=True)
         changes = None if response[0] != 200 else _decode(wire.changes, response[1])
         if changes is None:
             return None
-        return News(Version(changes.ledger_rev), [change.item() for change in changes.news])
+        return WatchResult(Version(changes.ledger_rev), [change.item() for change in changes.news])
 
     # Leases
 
-    async def grant(self, call: Grant) -> LeaseId | None:
+    async def grant(self, call: GrantLease) -> LeaseId | None:
         """A new lease; None: no answer."""
         response = await self._call("POST", "/grants", wire.grant(call.life_s), 2.0)
         granted = None if response is None else _decode(wire.permit, response[1])
         return None if granted is None else LeaseId(granted.permit)
 
-    async def touch(self, call: Touch) -> bool | None:
+    async def touch(self, call: RenewLease) -> bool | None:
         """Renew a lease; False: it has ended; None: no answer."""
         response = await self._try("POST", f"/grants/{call.lease}/touch", b"", TRY_S)
         if response is None or response[0] in REFUSED:
             return None
         return response[0] == 200
 
-    async def revoke(self, call: Revoke) -> None:
+    async def revoke(self, call: RevokeLease) -> None:
         """End a lease at once."""
         await self._call("DELETE", f"/grants/{call.lease}", None, 2.0)
 
@@ -316,7 +316,7 @@
             if (
                 writes + len(call.writes) > self._txn_ops
                 or len(keys) + len(names) > 4 * self._txn_ops
-                or size > MOST_BYTES
+                or size > MAX_BYTES
                 or names & keys
             ):
                 break
--- a/src/crosscleat/adapters/worker_client.py
+++ b/src/crosscleat/adapters/worker_client.py
@@ -7,9 +7,9 @@
 
 import aiohttp
 
-from ..core.model.heartbeats import Report
-from ..core.model.ids import Session, Token
-from ..core.model.worker_calls import Direct
+from ..core.model.heartbeats import Heartbeat
+from ..core.model.ids import AgentEpoch, Token
+from ..core.model.worker_calls import DirectCommand
 from ..wire import workers as wire
 
 CONNECT_S = 0.8
@@ -42,7 +42,7 @@
             ) as response:
                 return response.status, await response.read()
 
-    async def probe(self, address: str, token: Token, session: Session) -> bytes | None:
+    async def probe(self, address: str, token: Token, session: AgentEpoch) -> bytes | None:
         """The worker's report, unread, by a direct message without orders."""
         try:
             status, answer = await self._post(address, wire.direct(token, session, ()))
@@ -51,9 +51,9 @@
             return None
         return answer if status in REPORTED else None
 
-    async def direct(self, call: Direct) -> tuple[Report | None, bool]:
+    async def direct(self, call: DirectCommand) -> tuple[Heartbeat | None, bool]:
         """The worker's report; and, without one, whether the orders may still be executed."""
-        body = wire.direct(call.token, call.session, call.orders)
+        body = wire.direct(call.token, call.agent_epoch, call.orders)
         try:
             status, answer = await self._post(call.address, body)
         except _NEVER_SENT as error:
@@ -64,4 +64,4 @@
             return None, True
         if status not in REPORTED:
             return None, status >= 500
-        return wire.parse_check_in(answer), True
+        return wire.parse_heartbeat(answer), True
--- a/src/crosscleat/app.py
+++ b/src/crosscleat/app.py
@@ -22,23 +22,31 @@
 from .adapters.worker_client import WorkerClient
 from .core.control.controller import Controller
 from .core.model.cloud_calls import DeleteMachines, ListMachines, ListTypes, Rent
-from .core.model.deployment import Knobs
-from .core.model.effects import Answer, Effect, Later, Note, Part, Propose, Tell
-from .core.model.ids import Member, Session, Token
+from .core.model.deployment import TuningOptions
+from .core.model.effects import (
+    BroadcastProgress,
+    Delay,
+    Effect,
+    LogRecord,
+    ProposeShard,
+    Response,
+    ShardRequest,
+)
+from .core.model.ids import AgentEpoch, Member, Token
 from .core.model.inputs import (
-    Began,
-    CheckIn,
-    Completed,
+    CallCompleted,
+    HeartbeatReceived,
     Input,
-    PartGiven,
-    PeerGone,
-    Probed,
-    Progress,
-    Proposed,
+    PeerUnreachable,
+    ProbeReply,
+    ProgressReceived,
+    ShardProposed,
+    ShardRequested,
+    Started,
     Tick,
 )
-from .core.model.store_calls import Commit, Grant, Read, Revoke, Scan, Touch, Watch
-from .core.model.worker_calls import Direct, Orders, Probe
+from .core.model.store_calls import Commit, GrantLease, Read, RenewLease, RevokeLease, Scan, Watch
+from .core.model.worker_calls import DirectCommand, HeartbeatResponse, IndirectProbe
 from .settings import Settings
 from .wire import peers as peer_wire
 from .wire import workers as worker_wire
@@ -77,14 +85,14 @@
 class App:
     """One controller process."""
 
-    def __init__(self, settings: Settings, knobs: Knobs, sockets: Sockets) -> None:
+    def __init__(self, settings: Settings, tuning: TuningOptions, sockets: Sockets) -> None:
         params = settings.settings
         limits = params.state.tighter()
         self._settings = settings
         self._sockets = sockets
         self._rng = Random(os.urandom(16))
         boot = f"{self._rng.getrandbits(64):016x}"
-        self._controller = Controller(settings.deployment(knobs), boot, self._rng)
+        self._controller = Controller(settings.deployment(tuning), boot, self._rng)
         self.sessions = [
             _session(sockets.store),
             _session(sockets.cloud),
@@ -109,11 +117,11 @@
                 peer.endpoint,
                 self._rng,
                 self._health,
-                self._peer_gone,
+                self._peer_unreachable,
             )
             for peer in settings.peers
         }
-        self._requests: dict[int, asyncio.Future[Answer | Orders]] = {}
+        self._requests: dict[int, asyncio.Future[Response | HeartbeatResponse]] = {}
         self._number = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self._carriers: dict[type[Any], Callable[[Any], Awaitable[Any]]] = {
@@ -121,8 +129,8 @@
             Read: self._state.read,
             Scan: self._state.scan,
             Watch: self._state.watch,
-            Grant: self._state.grant,
-            Touch: self._state.touch,
+            GrantLease: self._state.grant,
+            RenewLease: self._state.touch,
             Rent: self._cloud.rent,
             DeleteMachines: self._cloud.delete,
             ListTypes: lambda _: self._cloud.types(),
@@ -132,13 +140,13 @@
     async def run(self) -> None:
         """Serve until a signal ends the process."""
         peers = PeerServer(set(self._links), self._answer_relay, self._health, self._told)
-        server = HttpServer(self._ask, self._check_in, self._ready, self._sockets.clients)
+        server = HttpServer(self._ask, self._receive_heartbeat, self._ready, self._sockets.clients)
         await peers.start(self._settings.peer_bind)
         async with asyncio.TaskGroup() as group:
             group.create_task(self._state.run())
             for link in self._links.values():
                 group.create_task(link.run())
-            self._step(Began())
+            self._step(Started())
             await server.start(self._settings.listen)
             # What was imported stays: the collector need not look at it again.
             gc.collect()
@@ -156,39 +164,41 @@
 
     def _carry_out(self, effect: Effect) -> None:  # noqa: C901 - one case a message
         match effect:
-            case Answer() | Orders():
+            case Response() | HeartbeatResponse():
                 future = self._requests.pop(effect.request, None)
                 if future is not None and not future.done():
                     future.set_result(effect)
-            case Note():
-                self._note(effect)
-            case Later():
+            case LogRecord():
+                self._write_log(effect)
+            case Delay():
                 loop = asyncio.get_running_loop()
-                loop.call_later(effect.delay_s, self._step, Completed(effect.then))
-            case Tell():
+                loop.call_later(effect.delay_s, self._step, CallCompleted(effect.continuation))
+            case BroadcastProgress():
                 for link in self._links.values():
                     link.send(peer_wire.Counts(effect.message))
-            case Probe():
+            case IndirectProbe():
                 for link in self._links.values():
-                    link.send(peer_wire.Probe(effect.address, effect.token, effect.session))
-            case Part():
-                self._links[effect.member].send(peer_wire.Part(effect.view))
-            case Propose():
-                self._links[effect.member].send(peer_wire.Proposed(effect.proposal))
-            case Revoke():
+                    link.send(
+                        peer_wire.IndirectProbe(effect.address, effect.token, effect.agent_epoch)
+                    )
+            case ShardRequest():
+                self._links[effect.member].send(peer_wire.ShardRequest(effect.view))
+            case ProposeShard():
+                self._links[effect.member].send(peer_wire.ShardProposed(effect.proposal))
+            case RevokeLease():
                 self._spawn(self._state.revoke(effect))
-            case Direct():
+            case DirectCommand():
                 self._spawn(self._direct(effect))
             case _:
                 self._spawn(self._call(effect))
 
     async def _call(self, call: Any) -> None:
         result = await self._carriers[type(call)](call)
-        self._step(Completed(call.then, (result,)))
+        self._step(CallCompleted(call.continuation, (result,)))
 
-    async def _direct(self, call: Direct) -> None:
-        report, perhaps = await self._workers.direct(call)
-        self._step(Completed(call.then, (report, perhaps)))
+    async def _direct(self, call: DirectCommand) -> None:
+        heartbeat, perhaps = await self._workers.direct(call)
+        self._step(CallCompleted(call.continuation, (heartbeat, perhaps)))
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -200,19 +210,23 @@
         if not task.cancelled() and task.exception() is not None:
             log.error("a call failed", exc_info=task.exception())
 
-    def _note(self, note: Note) -> None:
-        level = logging.INFO if note.level == "info" else logging.DEBUG
+    def _write_log(self, record: LogRecord) -> None:
+        level = logging.INFO if record.level == "info" else logging.DEBUG
         if log.isEnabledFor(level):
             election = self._controller.election
             role = f"leader {election.token}" if election.leading else "follower"
-            log.log(level, "(%s) %s", role, note.text)
+            log.log(level, "(%s) %s", role, record.text)
 
     # Requests
 
-    async def _wait(self, make: Callable[[int], Input], timeout_s: float) -> Answer | Orders | None:
+    async def _wait(
+        self, make: Callable[[int], Input], timeout_s: float
+    ) -> Response | HeartbeatResponse | None:
         self._number += 1
         number = self._number
-        future: asyncio.Future[Answer | Orders] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[Response | HeartbeatResponse] = (
+            asyncio.get_running_loop().create_future()
+        )
         self._requests[number] = future
         self._step(make(number))
         if future.done():
@@ -225,14 +239,14 @@
         finally:
             self._requests.pop(number, None)
 
-    async def _ask(self, make: Callable[[int], UserInput]) -> Answer | None:
+    async def _ask(self, make: Callable[[int], UserInput]) -> Response | None:
         answer = await self._wait(make, USER_S)
-        return answer if isinstance(answer, Answer) else None
+        return answer if isinstance(answer, Response) else None
 
-    async def _check_in(self, body: bytes) -> tuple[int, bytes]:
+    async def _receive_heartbeat(self, body: bytes) -> tuple[int, bytes]:
         """A worker's check-in at this controller: ours to answer, or the leader's."""
         if self._controller.leader is not None:
-            return await self._answer_check_in(body, relayed=False)
+            return await self._answer_heartbeat(body, relayed=False)
         leader = self._controller.election.leader
         link = self._links.get(leader) if leader is not None else None
         if link is None or not link.up:
@@ -243,42 +257,44 @@
         """A check-in that another controller passed on: never passed on again."""
         if self._controller.leader is None:
             return NOT_NOW
-        return await self._answer_check_in(body, relayed=True)
+        return await self._answer_heartbeat(body, relayed=True)
 
-    async def _answer_check_in(self, body: bytes, relayed: bool) -> tuple[int, bytes]:
-        report = worker_wire.parse_check_in(body)
-        if report is None:
+    async def _answer_heartbeat(self, body: bytes, relayed: bool) -> tuple[int, bytes]:
+        heartbeat = worker_wire.parse_heartbeat(body)
+        if heartbeat is None:
             return 400, b""
-        answer = await self._wait(lambda number: CheckIn(number, report, relayed), 1.0)
-        if isinstance(answer, Orders):
+        answer = await self._wait(lambda number: HeartbeatReceived(number, heartbeat, relayed), 1.0)
+        if isinstance(answer, HeartbeatResponse):
             return 200, worker_wire.answer(answer.token, answer.orders)
         return NOT_NOW
 
     def _ready(self) -> bool:
         return self._controller.knows_types and not self._health.refused_alone()
 
-    def _peer_gone(self, member: str) -> None:
-        self._step(PeerGone(Member(member)))
+    def _peer_unreachable(self, member: str) -> None:
+        self._step(PeerUnreachable(Member(member)))
 
     def _told(self, member: str, message: peer_wire.Told) -> None:
         match message:
             case peer_wire.Counts():
-                self._step(Progress(message.jobs))
-            case peer_wire.Part():
-                self._step(PartGiven(Member(member), message.view))
-            case peer_wire.Proposed():
-                self._step(Proposed(Member(member), message.proposal))
-            case peer_wire.Probe():
+                self._step(ProgressReceived(message.jobs))
+            case peer_wire.ShardRequest():
+                self._step(ShardRequested(Member(member), message.view))
+            case peer_wire.ShardProposed():
+                self._step(ShardProposed(Member(member), message.proposal))
+            case peer_wire.IndirectProbe():
                 self._spawn(self._probe(member, message))
-            case peer_wire.Probed():
-                report = worker_wire.parse_check_in(message.body)
-                if report is not None:
-                    self._step(Probed(report))
-
-    async def _probe(self, member: str, asked: peer_wire.Probe) -> None:
-        body = await self._workers.probe(asked.address, Token(asked.token), Session(asked.session))
+            case peer_wire.ProbeReply():
+                heartbeat = worker_wire.parse_heartbeat(message.body)
+                if heartbeat is not None:
+                    self._step(ProbeReply(heartbeat))
+
+    async def _probe(self, member: str, asked: peer_wire.IndirectProbe) -> None:
+        body = await self._workers.probe(
+            asked.address, Token(asked.token), AgentEpoch(asked.agent_epoch)
+        )
         if body is not None:
-            self._links[member].send(peer_wire.Probed(body))
+            self._links[member].send(peer_wire.ProbeReply(body))
 
 
 def _session(most: int) -> aiohttp.ClientSession:
@@ -292,17 +308,17 @@
     )
 
 
-async def _main(settings: Settings, knobs: Knobs) -> None:
+async def _main(settings: Settings, tuning: TuningOptions) -> None:
     most = settings.settings.resources.max_sockets
-    app = App(settings, knobs, Sockets.divide(most, len(settings.peers)))
+    app = App(settings, tuning, Sockets.divide(most, len(settings.peers)))
     async with AsyncExitStack() as open_:
         for session in app.sessions:
             await open_.enter_async_context(session)
         await app.run()
 
 
-def run(settings: Settings, knobs: Knobs) -> None:
+def run(settings: Settings, tuning: TuningOptions) -> None:
     """Run a controller until it is told to end."""
     signal.signal(signal.SIGINT, signal.SIG_DFL)
     log.info("in %s, listens on %s", settings.zone, settings.listen)
-    asyncio.run(_main(settings, knobs))
+    asyncio.run(_main(settings, tuning))
--- a/src/crosscleat/cli.py
+++ b/src/crosscleat/cli.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from . import __version__
-from .core.model.deployment import Knobs
+from .core.model.deployment import TuningOptions
 from .settings import SettingsError, load
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
@@ -30,9 +30,9 @@
 }
 
 
-def variable(knob: str) -> str:
+def variable(option: str) -> str:
     """The environment variable of a setting."""
-    return "CROSSCLEAT_" + knob.upper()
+    return "CROSSCLEAT_" + option.upper()
 
 
 def build_parser() -> argparse.ArgumentParser:
@@ -43,23 +43,23 @@
     parser.add_argument("--version", action="version", version=f"crosscleat {__version__}")
     parser.add_argument("--config", type=Path, required=True, metavar="FILE", help="settings file")
     parser.add_argument("--check", action="store_true", help="check the settings file and stop")
-    knobs = parser.add_argument_group("knobs", "each can also be set by the variable named")
-    for knob in dataclasses.fields(Knobs):
-        knobs.add_argument(
-            "--" + knob.name.replace("_", "-"),
+    tuning = parser.add_argument_group("knobs", "each can also be set by the variable named")
+    for option in dataclasses.fields(TuningOptions):
+        tuning.add_argument(
+            "--" + option.name.replace("_", "-"),
             type=float,
             metavar="N",
-            help=f"{HELP[knob.name]} (default {knob.default}; {variable(knob.name)})",
+            help=f"{HELP[option.name]} (default {option.default}; {variable(option.name)})",
         )
     return parser
 
 
-def read_knobs(given: argparse.Namespace, environ: Mapping[str, str]) -> Knobs:
+def read_tuning_options(given: argparse.Namespace, environ: Mapping[str, str]) -> TuningOptions:
     """Flags first, then variables, then defaults."""
     values: dict[str, float] = {}
-    for knob in dataclasses.fields(Knobs):
-        value = getattr(given, knob.name)
-        name = variable(knob.name)
+    for option in dataclasses.fields(TuningOptions):
+        value = getattr(given, option.name)
+        name = variable(option.name)
         if value is None and name in environ:
             try:
                 value = float(environ[name])
@@ -67,15 +67,15 @@
                 raise SettingsError(f"{name}: not a number: {environ[name]!r}") from error
         if value is not None:
             if not 0.0 <= value < 1e9:
-                raise SettingsError(f"{knob.name}: out of range: {value}")
-            values[knob.name] = value
-    knobs = Knobs(**values)
-    if knobs.weight > 1.0:
+                raise SettingsError(f"{option.name}: out of range: {value}")
+            values[option.name] = value
+    tuning = TuningOptions(**values)
+    if tuning.weight > 1.0:
         raise SettingsError("weight: must be from 0 to 1")
     for name in ("round_s", "period_s"):
-        if getattr(knobs, name) <= 0.0:
+        if getattr(tuning, name) <= 0.0:
             raise SettingsError(f"{name}: must be more than 0")
-    return knobs
+    return tuning
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
@@ -85,7 +85,7 @@
     try:
         if level not in LEVELS:
             raise SettingsError(f"LOG_LEVEL: must be one of {', '.join(LEVELS)}, not {level!r}")
-        knobs = read_knobs(given, os.environ)
+        tuning = read_tuning_options(given, os.environ)
         settings = load(given.config)
     except SettingsError as error:
         print(f"crosscleat: {error}", file=sys.stderr)
@@ -101,5 +101,5 @@
     # Only now: a check needs neither the event loop nor the HTTP library.
     from .app import run
 
-    run(settings, knobs)
+    run(settings, tuning)
     return 0
--- a/src/crosscleat/core/capacity/fleet.py
+++ b/src/crosscleat/core/capacity/fleet.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from ..model.cloud import MachineType
-from ..model.deployment import Knobs, TeamLimits, is_backfill
+from ..model.deployment import TeamLimits, TuningOptions, is_backfill
 from ..model.ids import Seconds, Team, TypeName, Zone
 from ..model.job_spec import JobSpec, Priority
 from ..scheduling.free_capacity import fetch_time, fitting, troubled
@@ -17,10 +17,10 @@
 from .demand import Demand
 from .pools import Pool, PoolKey
 
-MOST_PER_RENTAL = 50
+MAX_PER_RENTAL = 50
 """Machines of one request, by the protocol."""
 
-MOST_PRICED = 100
+MAX_PRICED = 100
 """Waiting jobs, the most urgent first, for which one rental looks for the cheapest machines."""
 
 FLOODED = 0.5
@@ -29,9 +29,9 @@
 
 PRESSING_SLACK = 0.2
 
-DEAR = 1.6
+EXPENSIVE_PRICE_RATIO = 1.6
 
-DEAR_IDLE_S = 4.0
+EXPENSIVE_IDLE_S = 4.0
 
 SERVED_S = 90.0
 """Tasks without a home for so long have machines rented for them even if dear and late."""
@@ -42,12 +42,12 @@
 BOOT_SLACK_S = 2.0
 """For the rental request itself and the first report."""
 
-LEAST_CHARGE_S = 60.0
+MIN_CHARGE_S = 60.0
 """A machine that is deleted costs at least so long."""
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class ScaleOutRequest:
     """A batch to rent from one pool."""
 
     pool: PoolKey
@@ -125,12 +125,12 @@
 
     def __init__(
         self,
-        knobs: Knobs,
-        due: Callable[[JobSpec], float],
+        tuning: TuningOptions,
+        completion_target_s: Callable[[JobSpec], float],
         remaining_s: Callable[[Job], float],
     ) -> None:
-        self._knobs = knobs
-        self._due = due
+        self._tuning = tuning
+        self._completion_target_s = completion_target_s
         self._remaining_s = remaining_s
         self._pools: dict[PoolKey, Pool] = {}
         self.types: dict[TypeName, MachineType] = {}
@@ -160,8 +160,8 @@
         return usual + self._spare(demand, usual)
 
     def _spare(self, demand: Demand, usual: float) -> float:
-        swings = self._knobs.swings * demand.spread()
-        return max(swings, self._knobs.headroom * usual, demand.one_job())
+        swings = self._tuning.swings * demand.spread()
+        return max(swings, self._tuning.headroom * usual, demand.one_job())
 
     def ordinary_cpus(self, now: Seconds) -> float:
         """Of ordinary machines, the room to keep: for what is nearly always at risk, and, as the
@@ -176,13 +176,13 @@
         if not job.spec.spot:
             self.firm.arrived(job, now)
 
-    def dear(self, kind: MachineType, spot: bool) -> bool:
+    def is_expensive(self, kind: MachineType, spot: bool) -> bool:
         """Whether a machine's CPUs cost well over the cheapest there are."""
         cheapest = min(
             (min(t.spot_price, t.price) / t.cpus for t in self.types.values() if t.cpus > 0),
             default=0.0,
         )
-        return kind.price_for(spot) / max(kind.cpus, 1e-9) > DEAR * cheapest
+        return kind.price_for(spot) / max(kind.cpus, 1e-9) > EXPENSIVE_PRICE_RATIO * cheapest
 
     def wanted(
         self,
@@ -194,7 +194,7 @@
         risky_cpus: float = 0.0,
         firm_cpus: float = 0.0,
         backfill_cpus: float = 0.0,
-    ) -> Wanted | None:
+    ) -> ScaleOutRequest | None:
         """The one batch to rent now, if any.
 
         No room is kept for backfill; `backfill_cpus` is what it uses of the team's CPUs.
@@ -252,18 +252,18 @@
 
         One that takes longer may take several times as long, and work would wait for it.
         """
-        if machine.dropping or machine.draining:
+        if machine.decommissioning or machine.draining:
             return False
         if machine.booted:
             return True
-        return now - machine.born <= SLOWEST_BOOT * machine.type.boot_s + BOOT_SLACK_S
+        return now - machine.created_at <= SLOWEST_BOOT * machine.type.boot_s + BOOT_SLACK_S
 
-    def _for_tasks(self, homeless: list[tuple[Job, int]], now: Seconds) -> Wanted | None:
+    def _for_tasks(self, homeless: list[tuple[Job, int]], now: Seconds) -> ScaleOutRequest | None:
         """Machines of one pool for all the tasks that are best housed there."""
         wanted: PoolKey | None = None
         machines = 0.0
         overdue = False
-        for job, count in homeless[:MOST_PRICED]:
+        for job, count in homeless[:MAX_PRICED]:
             age = Seconds(now - job.submitted)
             found = self._pick(job, age, now)
             if found is not None and wanted in (None, found[0]):
@@ -272,21 +272,25 @@
                 overdue = overdue or (age > SERVED_S and not _only_idle_room(job))
         if wanted is None:
             return None
-        return Wanted(wanted, min(MOST_PER_RENTAL, math.ceil(machines)), overdue)
+        return ScaleOutRequest(wanted, min(MAX_PER_RENTAL, math.ceil(machines)), overdue)
 
-    def _warm_room(self, capacity: float, now: Seconds) -> Wanted | None:
+    def _warm_room(self, capacity: float, now: Seconds) -> ScaleOutRequest | None:
         """Room for what is usually asked for, kept ready on cheap machines.
 
         Dear ones only make up for what cheap ones can't hold of the mean, without its swings.
         """
         found = self._cheapest(
-            self.target_cpus() - capacity, now, lambda kind, key: not self.dear(kind, key.spot)
+            self.target_cpus() - capacity,
+            now,
+            lambda kind, key: not self.is_expensive(kind, key.spot),
         )
         return found or self._cheapest(
-            self.demand.usual(now) - capacity, now, lambda kind, key: self.dear(kind, key.spot)
+            self.demand.usual(now) - capacity,
+            now,
+            lambda kind, key: self.is_expensive(kind, key.spot),
         )
 
-    def _safe_room(self, cpus: float, now: Seconds) -> Wanted | None:
+    def _safe_room(self, cpus: float, now: Seconds) -> ScaleOutRequest | None:
         """Ordinary machines for what usually waits or runs of work that needs them."""
         return self._cheapest(cpus, now, lambda _, key: not key.spot)
 
@@ -297,10 +301,12 @@
         """
         if job.gang:
             return True
-        if not any(m.type.holds(job.spec) and m.allowed(job.spec) for m in usable):
+        if not any(m.type.has_capacity_for(job.spec) and m.allowed(job.spec) for m in usable):
             return True
-        boot_s = min((k.boot_s for k in self.types.values() if k.holds(job.spec)), default=0.0)
-        slack = max(0.0, self._due(job.spec) - job.spec.estimate_s)
+        boot_s = min(
+            (k.boot_s for k in self.types.values() if k.has_capacity_for(job.spec)), default=0.0
+        )
+        slack = max(0.0, self._completion_target_s(job.spec) - job.spec.estimate_s)
         return now - job.submitted > min(PRESSING_BOOTS * boot_s, PRESSING_SLACK * slack)
 
     def _pick(self, job: Job, age: Seconds, now: Seconds) -> tuple[PoolKey, int] | None:
@@ -313,18 +319,18 @@
         suited = [
             (kind, key)
             for kind in self.types.values()
-            if kind.holds(spec)
+            if kind.has_capacity_for(spec)
             for key in self._pools_of(kind)
             if (spec.spot or not key.spot) and spec.zone in (None, key.zone)
         ]
         # What may go nowhere but to dear machines has nothing to wait for.
-        choosy = any(not self.dear(kind, key.spot) for kind, key in suited)
+        choosy = any(not self.is_expensive(kind, key.spot) for kind, key in suited)
         options = []
         for kind, key in suited:
             late = self._late(job, kind) < age < SERVED_S
             if not self.pool(key).open(now):
                 continue
-            if choosy and (late or _only_idle_room(job)) and self.dear(kind, key.spot):
+            if choosy and (late or _only_idle_room(job)) and self.is_expensive(kind, key.spot):
                 continue
             per = max(1, fitting(spec, kind.cpus, kind.memory_gb, kind.gpus))
             options.append((kind.price_for(key.spot) / per, kind.cpus, key, per))
@@ -337,11 +343,11 @@
         """The age from which renting such a machine can't complete the job's tasks on time."""
         spec = job.spec
         start_s = kind.boot_s + fetch_time(spec, kind)
-        return self._due(spec) - self._remaining_s(job) - start_s
+        return self._completion_target_s(spec) - self._remaining_s(job) - start_s
 
     def _cheapest(
         self, cpus: float, now: Seconds, suits: Callable[[MachineType, PoolKey], bool]
-    ) -> Wanted | None:
+    ) -> ScaleOutRequest | None:
         options = [
             (kind.price_for(key.spot) / max(kind.cpus, 1e-9), kind.cpus, key)
             for kind in self.types.values()
@@ -352,17 +358,17 @@
         if not options:
             return None
         _, size, key = min(options, key=lambda option: option[:2])
-        return Wanted(key, min(MOST_PER_RENTAL, max(1, int(cpus / size))))
+        return ScaleOutRequest(key, min(MAX_PER_RENTAL, max(1, int(cpus / size))))
 
     def _pools_of(self, kind: MachineType) -> list[PoolKey]:
         return [PoolKey(kind.name, zone, spot) for zone in kind.zones for spot in (True, False)]
 
-    def returnable(
+    def scale_in_candidates(
         self, machines: Iterable[Machine], teams: dict[Team, TeamLimits], now: Seconds
     ) -> list[Machine]:
         """Machines that the warm room does not need, the dearest first: those that are idle, and
         dear ones that backfill alone keeps in use."""
-        usable = [m for m in machines if m.up and not m.dropping and not m.surplus]
+        usable = [m for m in machines if m.up and not m.decommissioning and not m.surplus]
         capacity = sum(m.type.cpus for m in usable)
         unneeded = sorted(
             (m for m in usable if m.idle_since is not None or self._only_backfill(m, teams, now)),
@@ -373,8 +379,8 @@
         warm = self.target_cpus()
         safe = ordinary(usable) - self.ordinary_cpus(now)
         for machine in unneeded:
-            target = usual if self.dear(machine.type, machine.spot) else warm
-            paid = now - machine.born >= LEAST_CHARGE_S
+            target = usual if self.is_expensive(machine.type, machine.spot) else warm
+            paid = now - machine.created_at >= MIN_CHARGE_S
             if not machine.spot and safe < machine.type.cpus:
                 continue
             if paid and self._rested(machine, now) and capacity - machine.type.cpus >= target:
@@ -385,19 +391,19 @@
 
     def _rested(self, machine: Machine, now: Seconds) -> bool:
         """Whether it has been idle for long enough, if it is idle."""
-        dear = self.dear(machine.type, machine.spot)
-        patience_s = DEAR_IDLE_S if dear else self._knobs.idle_return_s
+        is_expensive = self.is_expensive(machine.type, machine.spot)
+        patience_s = EXPENSIVE_IDLE_S if is_expensive else self._tuning.idle_return_s
         return machine.idle_since is None or now - machine.idle_since >= patience_s
 
     def _only_backfill(self, machine: Machine, teams: dict[Team, TeamLimits], now: Seconds) -> bool:
         """Whether it is dear, and all that runs on it is backfill whose start counts by now."""
         return (
-            bool(machine.holds)
-            and self.dear(machine.type, machine.spot)
+            bool(machine.allocations)
+            and self.is_expensive(machine.type, machine.spot)
             and all(
-                is_backfill(hold.spec, teams)
-                and hold.running_since is not None
-                and now - hold.running_since > COUNTED_START_S
-                for hold in machine.holds.values()
+                is_backfill(allocation.spec, teams)
+                and allocation.running_since is not None
+                and now - allocation.running_since > COUNTED_START_S
+                for allocation in machine.allocations.values()
             )
         )
--- a/src/crosscleat/core/capacity/interruptions.py
+++ b/src/crosscleat/core/capacity/interruptions.py
@@ -13,7 +13,7 @@
 PRIOR_RATE = 1.0 / 3600.0
 """Until more has been seen: one an hour, as if seen on one machine for half an hour."""
 
-MOST_AT_ONCE = 2
+MAX_AT_ONCE = 2
 """Of those taken in a second only so many count: a wave says little of the usual rate."""
 
 FORGET_S = 600.0
@@ -40,7 +40,7 @@
         """So many cheap machines were up for so long."""
         keep = math.exp(-seconds / FORGET_S)
         self._exposed_s = max(PRIOR_S, self._exposed_s * keep) + machines * seconds
-        self._taken = self._taken * keep + min(self._new, MOST_AT_ONCE)
+        self._taken = self._taken * keep + min(self._new, MAX_AT_ONCE)
         self._new = 0
 
     @property
@@ -56,7 +56,7 @@
             return False
         run_s = scorer.run_s(spec)
         age = now - job.submitted
-        limit = next((at for at in scorer.dues(spec) if at >= age + run_s), None)
+        limit = next((at for at in scorer.completion_targets_s(spec) if at >= age + run_s), None)
         if limit is None:
             return False
         # Lost before this time of its run, a task can still be repeated by then.
--- a/src/crosscleat/core/capacity/machines.py
+++ b/src/crosscleat/core/capacity/machines.py
@@ -9,11 +9,11 @@
 from ..election.term import DRIFT, LeadingTerm
 from ..model.cloud import ListedMachine
 from ..model.cloud_calls import DeleteMachines, ListMachines
-from ..model.heartbeats import Report
+from ..model.heartbeats import Heartbeat
 from ..model.ids import MachineId, Seconds, TypeName, Version, Zone
-from ..state.allocations import Hold
-from ..state.cluster import Ledger
-from ..state.decommission_records import DropRecords
+from ..state.allocations import Allocation
+from ..state.cluster import ClusterState
+from ..state.decommission_records import DecommissionRecords
 from ..state.machine import NOWHERE, UNKNOWN_TYPE, Machine
 from .fleet import Fleet
 from .interruptions import InterruptionStats
@@ -33,10 +33,10 @@
 TOMBSTONE_S = 900.0
 """For so long a deleted machine's old reports are known for what they are."""
 
-DROP_KEPT_S = 120.0
+DECOMMISSION_RECORD_S = 120.0
 """For so long the store names a deleted machine, so that a successor knows them too."""
 
-MOST_DELETED = 100
+MAX_DELETED = 100
 """Names in one deletion."""
 
 DELETE_AGAIN_S = 4.0
@@ -75,23 +75,23 @@
     def __init__(
         self,
         term: LeadingTerm,
-        ledger: Ledger,
+        cluster: ClusterState,
         fleet: Fleet,
         interruptions: InterruptionStats,
-        drops: DropRecords,
-        gone: Callable[[Machine, Hold], None],
+        decommission_records: DecommissionRecords,
+        attempt_ended: Callable[[Machine, Allocation], None],
         dropped: Callable[[], None],
-        greet_later: Callable[[Iterable[Machine]], None],
+        queue_heartbeat_requests: Callable[[Iterable[Machine]], None],
     ) -> None:
         """`gone`: what a machine held is proven gone; `dropped`: a deletion is to be recorded."""
         self._term = term
-        self._ledger = ledger
+        self._cluster = cluster
         self._fleet = fleet
         self._interruptions = interruptions
-        self._drops = drops
-        self._gone = gone
-        self._dropped = dropped
-        self._greet_later = greet_later
+        self._decommission_records = decommission_records
+        self._attempt_ended = attempt_ended
+        self._decommission_decided = dropped
+        self._queue_heartbeat_requests = queue_heartbeat_requests
         self._deleted_names: deque[tuple[Seconds, MachineId]] = deque()
         """Machines that are deleted but still named in the store, and since when."""
         self._listing = False
@@ -105,15 +105,15 @@
     def enter(self, machine: Machine) -> None:
         """A machine that this term did not know of."""
         term = self._term
-        machine.born = machine.last_heard = term.now
-        machine.risk_token = term.began_token - 1
+        machine.created_at = machine.last_heard = term.now
+        machine.pending_start_token = term.began_token - 1
         # An earlier leader's last contact was before our election.
         machine.last_answer = Seconds(term.began + term.renew_s() * DRIFT)
-        self._ledger.machines[machine.id] = machine
+        self._cluster.machines[machine.id] = machine
 
     def enter_recorded(self, machine_id: MachineId) -> Machine:
         """The machine that a record names, which perhaps nobody has described yet."""
-        machine = self._ledger.machines.get(machine_id)
+        machine = self._cluster.machines.get(machine_id)
         if machine is None:
             machine = Machine(machine_id, UNKNOWN_TYPE, NOWHERE, False)
             self.enter(machine)
@@ -121,20 +121,20 @@
 
     def enter_rented(self, pool: PoolKey, machine_id: MachineId) -> None:
         """A machine that a rental request of this term was answered with."""
-        if machine_id in self._ledger.machines or machine_id in self.tombstones:
+        if machine_id in self._cluster.machines or machine_id in self.tombstones:
             return
         machine = Machine(machine_id, self._fleet.types[pool.type], pool.zone, pool.spot)
         self.enter(machine)
-        machine.known = True
+        machine.confirmed = True
 
-    def enter_reported(self, report: Report) -> Machine:
+    def enter_reported(self, heartbeat: Heartbeat) -> Machine:
         """The machine that sent the report."""
-        machine = self._ledger.machines.get(report.machine)
+        machine = self._cluster.machines.get(heartbeat.machine)
         if machine is None:
-            machine = Machine(report.machine, UNKNOWN_TYPE, report.zone, report.spot)
+            machine = Machine(heartbeat.machine, UNKNOWN_TYPE, heartbeat.zone, heartbeat.spot)
             self.enter(machine)
-        self.describe(machine, report.type, report.zone, report.spot)
-        machine.address = report.address
+        self.describe(machine, heartbeat.type, heartbeat.zone, heartbeat.spot)
+        machine.address = heartbeat.address
         return machine
 
     def describe(self, machine: Machine, kind: TypeName, zone: Zone, spot: bool) -> None:
@@ -144,17 +144,17 @@
         machine.type = self._fleet.types.get(kind, UNKNOWN_TYPE)
         machine.spot = spot
         if machine.zone != zone:
-            holds = list(machine.holds.values())
-            for hold in holds:
-                self._ledger.remove(machine, hold)
+            allocations = list(machine.allocations.values())
+            for allocation in allocations:
+                self._cluster.remove(machine, allocation)
             machine.zone = zone
-            for hold in holds:
-                hold.zone = zone
-                self._ledger.add(machine, hold)
+            for allocation in allocations:
+                allocation.zone = zone
+                self._cluster.add(machine, allocation)
 
     def types_changed(self) -> None:
         """Prices moved: machines refer to their type as it was described last."""
-        for machine in self._ledger.machines.values():
+        for machine in self._cluster.machines.values():
             machine.type = self._fleet.types.get(machine.type.name, machine.type)
 
     # The cloud's list
@@ -167,7 +167,7 @@
             self._listed_at = now
             self._list_at = Seconds(now + LIST_S)
             self._listing = True
-            self._term.out.add(ListMachines(self.listed))
+            self._term.outbox.add(ListMachines(self.listed))
 
     def listed(self, entries: list[ListedMachine] | None) -> None:
         """Take in the list, some seconds old; None: there was no answer."""
@@ -175,16 +175,16 @@
         if entries is None or self._term.retired:
             return
         now = self._term.now
-        self._drop_missing({entry.id for entry in entries}, now)
+        self._decommission_missing({entry.id for entry in entries}, now)
         known = (entry for entry in entries if entry.id not in self.tombstones)
         unheard = [machine for entry in known if (machine := self._take_in(entry, now))]
         # First those with the most room: work may wait for it.
-        self._greet_later(sorted(unheard, key=lambda machine: machine.used_cpus))
+        self._queue_heartbeat_requests(sorted(unheard, key=lambda machine: machine.used_cpus))
 
     def _take_in(self, entry: ListedMachine, now: Seconds) -> Machine | None:
         """The machine, if it runs and was not heard of in this term: ask, rather than wait for its
         next check-in."""
-        machine = self._ledger.machines.get(entry.id)
+        machine = self._cluster.machines.get(entry.id)
         if machine is None:
             machine = Machine(entry.id, UNKNOWN_TYPE, entry.zone, entry.spot)
             self.enter(machine)
@@ -192,22 +192,22 @@
         machine.listed = True
         machine.listed_running |= entry.state == "running"
         machine.address = machine.address or entry.address
-        machine.born = min(machine.born, Seconds(now - entry.age_s))
+        machine.created_at = min(machine.created_at, Seconds(now - entry.age_s))
         if entry.state == "failed":
-            self.drop(machine, "failed")
+            self.decommission(machine, "failed")
         return machine if machine.listed_running and not machine.up else None
 
-    def _drop_missing(self, named: set[MachineId], now: Seconds) -> None:
+    def _decommission_missing(self, named: set[MachineId], now: Seconds) -> None:
         """What was listed stays listed until it is gone; a list may only be older than another."""
         quiet_s = self.liveness.quiet_s
-        for machine in self._ledger.machines.values():
+        for machine in self._cluster.machines.values():
             if (
                 machine.listed
                 and machine.id not in named
-                and now - machine.born > LISTED_BY_S
+                and now - machine.created_at > LISTED_BY_S
                 and now - machine.last_heard > quiet_s
             ):
-                self.drop(machine, "no longer listed")
+                self.decommission(machine, "no longer listed")
 
     # Watching them
 
@@ -218,75 +218,75 @@
         """Whether tasks may be placed on it."""
         return (
             machine.up
-            and not machine.dropping
+            and not machine.decommissioning
             and not machine.draining
-            and not machine.strays
+            and not machine.orphans
             and machine.full_until <= now
             and machine.type is not UNKNOWN_TYPE
-            and machine.known
-            and machine.deaf_since is None
-            and now - machine.last_heard < 1.25 * self._term.deployment.report_s + 1.0
+            and machine.confirmed
+            and machine.unresponsive_since is None
+            and now - machine.last_heard < 1.25 * self._term.deployment.heartbeat_interval_s + 1.0
         )
 
     def watch(self, machine: Machine, now: Seconds) -> None:
         """Free what its lease no longer holds, and return it if it is gone, drained or late."""
         self._end_lease(machine, now)
-        busy = bool(machine.holds or machine.exited or machine.strays)
+        busy = bool(machine.allocations or machine.exited or machine.orphans)
         if busy or not machine.up:
             machine.idle_since = None
         elif machine.idle_since is None:
             machine.idle_since = now
-        why = None if machine.dropping else self._why_return(machine, now)
-        if why is not None:
-            self.drop(machine, why)
+        reason = None if machine.decommissioning else self._why_return(machine, now)
+        if reason is not None:
+            self.decommission(machine, reason)
 
     def _why_return(self, machine: Machine, now: Seconds) -> str | None:
         if machine.booted and self.liveness.silent(machine, now):
-            machine.mute = True
+            machine.deleted_for_silence = True
             return f"silent for {now - machine.last_heard:.0f} s"
         if machine.up:
-            return "drained" if machine.draining and not machine.holds else None
+            return "drained" if machine.draining and not machine.allocations else None
         if machine.booted:
             # Running, and not heard of in this term: it may be cut off from us.
             return None
         if machine.type is UNKNOWN_TYPE:
-            known_by = machine.born + self.liveness.silent_s + LIST_WAIT_S
+            known_by = machine.created_at + self.liveness.silent_s + LIST_WAIT_S
             return "only on record, neither listed nor heard" if now > known_by else None
         return "never came up" if now > self._up_by(machine) else None
 
     def _up_by(self, machine: Machine) -> float:
-        booted = machine.born + BOOT_TIMES * machine.type.boot_s + BOOT_EXTRA_S
+        booted = machine.created_at + BOOT_TIMES * machine.type.boot_s + BOOT_EXTRA_S
         return max(booted, self._term.began + self.liveness.silent_s)
 
     def _end_lease(self, machine: Machine, now: Seconds) -> None:
         lease_s = self._term.deployment.lease_s * DRIFT + LEASE_SLACK_S
-        if machine.holds and now > machine.last_answer + lease_s:
-            for hold in list(machine.holds.values()):
-                self._gone(machine, hold)
+        if machine.allocations and now > machine.last_answer + lease_s:
+            for allocation in list(machine.allocations.values()):
+                self._attempt_ended(machine, allocation)
 
     # Returning them
 
-    def drop(self, machine: Machine, why: str) -> None:
+    def decommission(self, machine: Machine, reason: str) -> None:
         """Decide to delete it: recorded first, then final."""
-        if not machine.dropping:
-            machine.dropping = True
-            self._dropped()
-            self._term.out.note("info", f"machine {machine.id}: returned ({why})")
+        if not machine.decommissioning:
+            machine.decommissioning = True
+            self._decommission_decided()
+            self._term.outbox.log("info", f"machine {machine.id}: returned ({reason})")
 
     def delete_recorded(self, now: Seconds) -> None:
         """Delete those whose deletion is on record."""
         ready = [
             machine
-            for machine in self._ledger.machines.values()
-            if machine.drop_recorded
+            for machine in self._cluster.machines.values()
+            if machine.decommission_recorded
             and (machine.delete_sent is None or now - machine.delete_sent > DELETE_AGAIN_S)
-        ][:MOST_DELETED]
+        ][:MAX_DELETED]
         if not ready:
             return
         for machine in ready:
             machine.delete_sent = now
         names = tuple(machine.id for machine in ready)
-        self._term.out.add(DeleteMachines(names, lambda ok: self._deleted(ready, ok)))
+        self._term.outbox.add(DeleteMachines(names, lambda ok: self._deleted(ready, ok)))
 
     def _deleted(self, machines: list[Machine], ok: bool) -> None:
         now = self._term.now
@@ -297,13 +297,13 @@
                 again_s = DELETE_AGAIN_S - DELETE_FAILED_AGAIN_S
                 machine.delete_sent = Seconds(now - again_s)
                 continue
-            for hold in list(machine.holds.values()):
-                self._gone(machine, hold)
-            if machine.mute:
+            for allocation in list(machine.allocations.values()):
+                self._attempt_ended(machine, allocation)
+            if machine.deleted_for_silence:
                 self.liveness.given_up(machine, now)
                 if machine.spot:
                     self._interruptions.taken()
-            self._ledger.machines.pop(machine.id, None)
+            self._cluster.machines.pop(machine.id, None)
             self.tombstones[machine.id] = now
             self._deleted_names.append((now, machine.id))
 
@@ -316,10 +316,10 @@
         # Not under a write, which may be changing the very record.
         while not writing and self._deleted_names:
             deleted_at, machine_id = self._deleted_names[0]
-            if now - deleted_at <= DROP_KEPT_S:
+            if now - deleted_at <= DECOMMISSION_RECORD_S:
                 break
             self._deleted_names.popleft()
-            empty = self._drops.forget(machine_id)
+            empty = self._decommission_records.forget(machine_id)
             if empty is not None and empty.version:
                 obsolete.append((empty.key, empty.version))
         return obsolete
--- a/src/crosscleat/core/capacity/scaling.py
+++ b/src/crosscleat/core/capacity/scaling.py
@@ -8,18 +8,18 @@
 from ..model.cloud_calls import Rent
 from ..model.ids import JobRef, MachineId, Seconds
 from ..scheduling.scoring import Scorer
-from ..state.cluster import Ledger
+from ..state.cluster import ClusterState
 from ..state.jobs import Job
 from ..state.machine import Machine
 from .budget import Budget
-from .fleet import Fleet, Wanted
+from .fleet import Fleet, ScaleOutRequest
 from .interruptions import InterruptionStats
 from .pools import PoolKey
 
 ADJUST_S = 1.0
 """How often the fleet is looked at; sooner after a rental was answered."""
 
-MOST_TRIES = 4
+MAX_TRIES = 4
 """A rental without an answer is repeated so often, under its name."""
 
 HEARD_S = 3.0
@@ -28,30 +28,30 @@
 HEARD_REPORTS = 1.3
 
 
-class Renting:
+class Autoscaler:
     """Rents for waiting work and the warm room, and returns what is idle."""
 
     def __init__(
         self,
         term: LeadingTerm,
         jobs: dict[JobRef, Job],
-        ledger: Ledger,
+        cluster: ClusterState,
         fleet: Fleet,
         scorer: Scorer,
         interruptions: InterruptionStats,
         enter_rented: Callable[[PoolKey, MachineId], None],
-        drop: Callable[[Machine, str], None],
+        decommission: Callable[[Machine, str], None],
         release: Callable[[Machine], None],
     ) -> None:
         """`drop`: return it; `release`: stop what is on it, then return it."""
         self._term = term
         self._jobs = jobs
-        self._ledger = ledger
+        self._cluster = cluster
         self._fleet = fleet
         self._scorer = scorer
         self._interruptions = interruptions
         self._enter_rented = enter_rented
-        self._drop = drop
+        self._decommission = decommission
         self._release = release
         self._budget: Budget | None = None
         self._under_way = False
@@ -67,21 +67,21 @@
             return
         self._judge_risks(now)
         self._adjust_at = Seconds(now + ADJUST_S)
-        machines = list(self._ledger.machines.values())
+        machines = list(self._cluster.machines.values())
         rate = sum(m.type.price_for(m.spot) for m in machines) / 3600.0
         if self._budget is None:
-            knobs = self._term.deployment.knobs
-            self._budget = Budget(knobs.period_s, self._allowance(), now)
+            tuning = self._term.deployment.tuning
+            self._budget = Budget(tuning.period_s, self._allowance(), now)
         self._budget.charge(rate, now)
-        jobs = [job for job in self._jobs.values() if not job.aborted]
+        jobs = [job for job in self._jobs.values() if not job.cancelled]
         wanted = self._fleet.wanted(
             jobs,
             self._term.deployment.teams,
-            self._ledger.team_cpus,
+            self._cluster.team_cpus,
             machines,
             now,
             self._cpus_of(lambda job: job.at_risk),
-            self._cpus_of(lambda job: not job.spec.spot and not job.aborted),
+            self._cpus_of(lambda job: not job.spec.spot and not job.cancelled),
             self._backfill_in_use(),
         )
         if wanted is not None and not self._under_way and self._heard_of_fleet(now):
@@ -89,19 +89,19 @@
             waiting = self._waiting_cost(jobs)
             if wanted.overdue or self._budget.admits(rate, more, waiting, now):
                 self.rent(wanted)
-        for machine in self._fleet.returnable(machines, self._term.deployment.teams, now):
-            if machine.holds:
+        for machine in self._fleet.scale_in_candidates(machines, self._term.deployment.teams, now):
+            if machine.allocations:
                 self._release(machine)
             else:
-                self._drop(machine, "idle")
+                self._decommission(machine, "idle")
 
     def _judge_risks(self, now: Seconds) -> None:
         """Once a second, whose tasks had better not be lost; which may change with their age."""
-        cheap = sum(1 for m in self._ledger.machines.values() if m.up and m.spot)
+        cheap = sum(1 for m in self._cluster.machines.values() if m.up and m.spot)
         self._interruptions.passed(min(1.0, now - self._judged_at), cheap)
         self._judged_at = now
         for job in self._jobs.values():
-            job.at_risk = not job.aborted and self._interruptions.at_risk(job, self._scorer, now)
+            job.at_risk = not job.cancelled and self._interruptions.at_risk(job, self._scorer, now)
 
     def _cpus_of(self, those: Callable[[Job], bool]) -> float:
         return sum(
@@ -120,10 +120,10 @@
 
         Unless nothing is on record: then no work has begun, and hardly a machine is rented.
         """
-        wait_s = min(HEARD_S, self._term.deployment.report_s * HEARD_REPORTS)
+        wait_s = min(HEARD_S, self._term.deployment.heartbeat_interval_s * HEARD_REPORTS)
         return self.first_term or now - self._term.began > wait_s
 
-    def _rate(self, wanted: Wanted) -> float:
+    def _rate(self, wanted: ScaleOutRequest) -> float:
         kind = self._fleet.types[wanted.pool.type]
         return kind.price_for(wanted.pool.spot) * wanted.count / 3600.0
 
@@ -134,14 +134,16 @@
         )
         deployment = self._term.deployment
         cpus = sum(limits.cpus for limits in deployment.teams.values())
-        knobs = deployment.knobs
-        return knobs.budget_factor * cpus * per_cpu * knobs.period_s / 3600.0
+        tuning = deployment.tuning
+        return tuning.budget_factor * cpus * per_cpu * tuning.period_s / 3600.0
 
     def _waiting_cost(self, jobs: Iterable[Job]) -> float:
-        dear = max(self._fleet.types.values(), key=lambda t: t.price / max(t.cpus, 1e-9))
-        return sum(job.waiting_count() * self._scorer.cost(job, dear, False, 0.0) for job in jobs)
+        is_expensive = max(self._fleet.types.values(), key=lambda t: t.price / max(t.cpus, 1e-9))
+        return sum(
+            job.waiting_count() * self._scorer.cost(job, is_expensive, False, 0.0) for job in jobs
+        )
 
-    def rent(self, wanted: Wanted) -> None:
+    def rent(self, wanted: ScaleOutRequest) -> None:
         """Send one rental request."""
         self._under_way = True
         self._number += 1
@@ -149,9 +151,9 @@
         name = f"r-{self._term.began_token}-{self._number}"
         self._request(name, wanted, 1)
 
-    def _request(self, name: str, wanted: Wanted, tries: int) -> None:
+    def _request(self, name: str, wanted: ScaleOutRequest, tries: int) -> None:
         pool = wanted.pool
-        self._term.out.add(
+        self._term.outbox.add(
             Rent(
                 name,
                 pool.type,
@@ -163,11 +165,11 @@
         )
 
     def _answered(
-        self, name: str, wanted: Wanted, tries: int, result: list[str] | bool | None
+        self, name: str, wanted: ScaleOutRequest, tries: int, result: list[str] | bool | None
     ) -> None:
         if self._term.retired:
             return
-        if result is None and tries < MOST_TRIES:
+        if result is None and tries < MAX_TRIES:
             self._request(name, wanted, tries + 1)
             return
         now = self._term.now
@@ -179,7 +181,7 @@
         for machine in result:
             self._enter_rented(wanted.pool, MachineId(machine))
         key = wanted.pool
-        self._term.out.note("info", f"rented {len(result)} of {key.type} in {key.zone}")
+        self._term.outbox.log("info", f"rented {len(result)} of {key.type} in {key.zone}")
         if len(result) < wanted.count:
             pool.refuse(now)
         else:
--- a/src/crosscleat/core/control/controller.py
+++ b/src/crosscleat/core/control/controller.py
@@ -12,28 +12,28 @@
 from ..model.cloud import MachineType
 from ..model.cloud_calls import ListTypes
 from ..model.deployment import Deployment
-from ..model.effects import Answer, Effect, Later, Outbox, Propose, Tell
+from ..model.effects import BroadcastProgress, Delay, Effect, Outbox, ProposeShard, Response
 from ..model.ids import LONG_AGO, Member, Seconds, Token, TypeName, Version, WallTime
 from ..model.inputs import (
-    Abort,
-    Began,
-    CheckIn,
-    Completed,
+    CallCompleted,
+    CancelJob,
+    HeartbeatReceived,
     Input,
-    PartGiven,
-    PeerGone,
-    Poll,
-    Probed,
-    Progress,
-    Proposed,
-    Refuse,
-    Submit,
+    PeerUnreachable,
+    ProbeReply,
+    ProgressReceived,
+    QueryJob,
+    RejectJob,
+    ShardProposed,
+    ShardRequested,
+    Started,
+    SubmitJob,
     Tick,
 )
-from ..model.store_calls import Item, Listing, News, Scan, Watch
+from ..model.store_calls import Item, Listing, Scan, Watch, WatchResult
 from ..scheduling.sharding import plan
-from ..state.keys import DROP, FORMAT, LIVE, WORK
-from ..state.placement_records import span_of
+from ..state.keys import DECOMMISSIONED, FORMAT, LIVE, PLACEMENTS
+from ..state.placement_records import chunk_length_for
 from .leader import Leader
 from .user_requests import UserRequests
 
@@ -50,25 +50,27 @@
     def __init__(self, deployment: Deployment, boot: str, rng: Random) -> None:
         self.deployment = deployment
         self._rng = rng
-        self._out = Outbox()
+        self._outbox = Outbox()
         self._now = LONG_AGO
         self._wall = WallTime(0.0)
         self._types: dict[TypeName, MachineType] = {}
         self._types_asked = False
         self._types_at = LONG_AGO
         self._progress_at = LONG_AGO
-        self.upgrade = Upgrade(deployment.member, deployment.members, self._out, self._all_upgraded)
+        self.upgrade = Upgrade(
+            deployment.member, deployment.members, self._outbox, self._all_upgraded
+        )
         self.users = UserRequests(
-            deployment, self._out, self._types, lambda: self._now, lambda: self.upgrade.complete
+            deployment, self._outbox, self._types, lambda: self._now, lambda: self.upgrade.complete
         )
         self.leader: Leader | None = None
         self.election = Election(
             Member(deployment.member),
             boot,
-            self._out,
+            self._outbox,
             rng,
             lambda: self._now,
-            lambda delay, then: self._out.add(Later(delay, then)),
+            lambda delay, continuation: self._outbox.add(Delay(delay, continuation)),
             self._elected,
             self._lost,
         )
@@ -84,43 +86,43 @@
         if self.leader is not None:
             self.leader.term.now = now
         match given:
-            case Completed(then, results):
-                then(*results)
-            case CheckIn(request, report, relayed):
+            case CallCompleted(continuation, results):
+                continuation(*results)
+            case HeartbeatReceived(request, heartbeat, relayed):
                 if self.leader is not None:
-                    self.leader.check_in(request, report, now, relayed)
+                    self.leader.receive_heartbeat(request, heartbeat, now, relayed)
                 else:
-                    self._out.add(Answer(request, 503, retry_after_s=1))
-            case Probed(report):
+                    self._outbox.add(Response(request, 503, retry_after_s=1))
+            case ProbeReply(heartbeat):
                 if self.leader is not None:
-                    self.leader.hear_directly(report)
-            case Poll(request, ref):
-                self.users.poll(request, ref)
-            case Submit(request, spec):
+                    self.leader.receive_direct_reply(heartbeat)
+            case QueryJob(request, ref):
+                self.users.query(request, ref)
+            case SubmitJob(request, spec):
                 self.users.submit(request, spec, wall)
-            case Refuse(request, ref, status):
+            case RejectJob(request, ref, status):
                 self.users.refuse(request, ref, status)
-            case Abort(request, ref):
-                self.users.abort(request, ref)
-            case Progress(counts):
+            case CancelJob(request, ref):
+                self.users.cancel(request, ref)
+            case ProgressReceived(counts):
                 self.users.progress.update(counts)
-            case PartGiven(member, view):
+            case ShardRequested(member, view):
                 proposal = plan(view, self.deployment, self._types, self._rng, now)
-                self._out.add(Propose(member, proposal))
-            case Proposed(member, proposal):
+                self._outbox.add(ProposeShard(member, proposal))
+            case ShardProposed(member, proposal):
                 if self.leader is not None:
-                    self.leader.scheduling.proposed(member, proposal, now)
-            case PeerGone(member):
-                self.election.unseat(member)
+                    self.leader.scheduler.proposed(member, proposal, now)
+            case PeerUnreachable(member):
+                self.election.revoke_leader_lease(member)
             case Tick():
                 self._tick()
-            case Began():
+            case Started():
                 self.election.begin()
                 self.upgrade.begin()
                 self._ask_types()
         if self.leader is not None:
-            self.leader.settle(now)
-        return self._out.take()
+            self.leader.finish_step(now)
+        return self._outbox.take()
 
     def _tick(self) -> None:
         now = self._now
@@ -134,7 +136,7 @@
             counts = self.leader.progress()
             if counts:
                 self.users.progress.update(counts)
-                self._out.add(Tell(counts))
+                self._outbox.add(BroadcastProgress(counts))
 
     def _ask_types(self) -> None:
         self._types_asked = True
@@ -148,21 +150,23 @@
                 if self.leader is not None:
                     self.leader.machines.types_changed()
 
-        self._out.add(ListTypes(listed))
+        self._outbox.add(ListTypes(listed))
 
     # Terms
 
     def _all_upgraded(self) -> None:
         """No older version reads what we write any more; a term that began before goes on in the
         older form, so another one begins, where that makes a difference."""
-        self._out.note("info", "all controllers have changed to this version")
+        self._outbox.log("info", "all controllers have changed to this version")
         leader = self.leader
-        if leader is not None and leader.work.span != span_of(self.deployment.value_kb):
+        if leader is not None and leader.placement_records.chunk_length != chunk_length_for(
+            self.deployment.value_kb
+        ):
             self.election.resign("all controllers have changed to this version", rest_s=0.0)
 
     def _elected(self, token: Token) -> None:
-        self._out.note("info", f"elected, token {token}")
-        self._scan(token, (LIVE, WORK, DROP, FORMAT), [], self._now)
+        self._outbox.log("info", f"elected, token {token}")
+        self._scan(token, (LIVE, PLACEMENTS, DECOMMISSIONED, FORMAT), [], self._now)
 
     def _scan(
         self, token: Token, prefixes: tuple[str, ...], found: list[Listing], asked: Seconds
@@ -184,15 +188,15 @@
             else:
                 self._lead(token, found, asked)
 
-        self._out.add(Scan(prefixes[0], scanned))
+        self._outbox.add(Scan(prefixes[0], scanned))
 
     def _lead(self, token: Token, found: list[Listing], asked: Seconds) -> None:
-        live, work, drops, formats = found
+        live, placement_records, decommission_records, formats = found
         self.upgrade.learn(formats.items)
         leader = Leader(
             self.deployment,
             self.election,
-            self._out,
+            self._outbox,
             self._rng,
             self._types,
             self._now,
@@ -200,30 +204,30 @@
             self.upgrade.complete,
         )
         leader.term.watched = asked
-        leader.load(live.items, work.items, drops.items, self._now)
+        leader.load(live.items, placement_records.items, decommission_records.items, self._now)
         self.leader = leader
-        self._out.note("info", f"leading with {len(leader.jobs)} jobs")
+        self._outbox.log("info", f"leading with {len(leader.jobs)} jobs")
         self._watch(leader, live.revision)
 
     def _watch(self, leader: Leader, after: Version) -> None:
         opened = self._now
 
-        def heard(news: News | None) -> None:
+        def heard(watch_result: WatchResult | None) -> None:
             if leader.term.retired:
                 return
-            if news is None:
-                self._out.add(Later(0.2, lambda: self._watch(leader, after)))
-            elif news.lost:
+            if watch_result is None:
+                self._outbox.add(Delay(0.2, lambda: self._watch(leader, after)))
+            elif watch_result.lost:
                 self._reread(leader)
             else:
                 leader.term.watched = max(leader.term.watched, opened)
-                changes: list[Item] = [c for c in news.changes if c.key.startswith(LIVE)]
+                changes: list[Item] = [c for c in watch_result.changes if c.key.startswith(LIVE)]
                 if changes:
-                    leader.live_news(changes, self._now)
-                self._watch(leader, max(after, news.revision))
+                    leader.apply_job_changes(changes, self._now)
+                self._watch(leader, max(after, watch_result.revision))
 
         if not leader.term.retired:
-            self._out.add(Watch(LIVE, after, WATCH_S, heard))
+            self._outbox.add(Watch(LIVE, after, WATCH_S, heard))
 
     def _reread(self, leader: Leader) -> None:
         def scanned(listing: Listing | None) -> None:
@@ -232,13 +236,13 @@
             if listing is None:
                 self._reread(leader)
                 return
-            leader.live_news(listing.items, self._now)
+            leader.apply_job_changes(listing.items, self._now)
             self._watch(leader, listing.revision)
 
-        self._out.add(Scan(LIVE, scanned))
+        self._outbox.add(Scan(LIVE, scanned))
 
-    def _lost(self, why: str) -> None:
-        self._out.note("info", f"no longer leading: {why}")
+    def _lost(self, reason: str) -> None:
+        self._outbox.log("info", f"no longer leading: {reason}")
         if self.leader is not None:
             self.leader.term.retired = True
             self.leader = None
--- a/src/crosscleat/core/control/gang_control.py
+++ b/src/crosscleat/core/control/gang_control.py
@@ -6,20 +6,22 @@
 
 from ..election.term import LeadingTerm
 from ..model.ids import JobRef, Seconds
-from ..scheduling.free_capacity import Choice
+from ..scheduling.free_capacity import Assignment
 from ..scheduling.scoring import Scorer
-from ..state.allocations import Hold
-from ..state.cluster import Ledger
+from ..state.allocations import Allocation
+from ..state.cluster import ClusterState
 from ..state.gangs import OnNotice, Phase, may_replace, on_notice, phase_of
 from ..state.jobs import Job
 from ..state.machine import Machine
 
 
-def holds_of(ledger: Ledger, job: Job, but: int | None = None) -> Iterator[tuple[Machine, Hold]]:
+def allocations_of(
+    cluster: ClusterState, job: Job, but: int | None = None
+) -> Iterator[tuple[Machine, Allocation]]:
     """Where the job's tasks may be, leaving out the one with the number `but`."""
     for chunk in job.chunks.values():
         for number, placed in list(chunk.placed.items()):
-            found = ledger.find(job.ref, number, placed.attempt, placed.machine)
+            found = cluster.find(job.ref, number, placed.attempt, placed.machine)
             if found is not None and number != but:
                 yield found
 
@@ -31,19 +33,19 @@
         self,
         term: LeadingTerm,
         jobs: dict[JobRef, Job],
-        ledger: Ledger,
+        cluster: ClusterState,
         scorer: Scorer,
-        withdraw: Callable[[Machine, Hold, float], None],
-        find_places: Callable[[Job, float], list[Choice]],
+        stop_attempt: Callable[[Machine, Allocation, float], None],
+        find_places: Callable[[Job, float], list[Assignment]],
         place: Callable[[Job, Machine], None],
     ) -> None:
         """`withdraw`: stop an attempt with so much time to save; `find_places`: for the tasks that
         a gang lacks, startable in so many seconds; `place`: commit one of them."""
         self._term = term
         self._jobs = jobs
-        self._ledger = ledger
+        self._cluster = cluster
         self._scorer = scorer
-        self._withdraw = withdraw
+        self._stop_attempt = stop_attempt
         self._find_places = find_places
         self._place = place
         self._incomplete: dict[JobRef, Job] = {}
@@ -67,7 +69,7 @@
 
     def lost(self, job: Job, number: int, machine: Machine, cause: str | None) -> None:
         """A task of the gang ended without result: it is replaced, or the attempt ends."""
-        if may_replace(cause, holds_of(self._ledger, job, but=number)):
+        if may_replace(cause, allocations_of(self._cluster, job, but=number)):
             job.progress.lost_on.add(machine.id)
             self._incomplete[job.ref] = job
         elif job.progress.stopped_at is None:
@@ -82,21 +84,25 @@
         proven gone."""
         self._incomplete.pop(job.ref, None)
         job.progress.stops(self._term.now)
-        going_on = [(m, hold) for m, hold in holds_of(self._ledger, job) if not hold.withdrawn]
-        for _, hold in going_on:
+        going_on = [
+            (m, allocation)
+            for m, allocation in allocations_of(self._cluster, job)
+            if not allocation.stopping
+        ]
+        for _, allocation in going_on:
             # All before any is found gone: the end of one must not end the attempt once more.
-            hold.withdrawn = True
-        for machine, hold in going_on:
-            self._withdraw(machine, hold, grace_s)
+            allocation.stopping = True
+        for machine, allocation in going_on:
+            self._stop_attempt(machine, allocation, grace_s)
 
     def complete(self, now: Seconds) -> None:
         """Replace lost tasks of gangs that still wait, under the number of their attempt."""
         for job in list(self._incomplete.values()):
-            if job.aborted or not job.partly_placed:
+            if job.cancelled or not job.partly_placed:
                 self._incomplete.pop(job.ref, None)
                 continue
-            phase = phase_of(holds_of(self._ledger, job))
-            if phase is Phase.UNHEARD or job.settling:
+            phase = phase_of(allocations_of(self._cluster, job))
+            if phase is Phase.UNHEARD or job.needs_reread:
                 continue
             self._incomplete.pop(job.ref, None)
             if phase is not Phase.WAITING or not self._complete(job, now):
@@ -110,29 +116,29 @@
         since = job.progress.waiting_since
         waited_s = 0.0 if since is None else now - since
         left_s = self._term.deployment.gang_wait_s - waited_s
-        for choice in self._find_places(job, left_s):
-            self._place(job, self._ledger.machines[choice.machine])
+        for assignment in self._find_places(job, left_s):
+            self._place(job, self._cluster.machines[assignment.machine])
         if job.placed_count() < job.spec.tasks:
             return False
-        note = f"job {job.ref}: {missing} lost tasks of a waiting gang replaced"
-        self._term.out.note("info", note)
+        log = f"job {job.ref}: {missing} lost tasks of a waiting gang replaced"
+        self._term.outbox.log("info", log)
         return True
 
     def evacuate(self, machine: Machine, now: Seconds) -> None:
         """Decide what becomes of the gangs on a machine that is to be taken back."""
-        if machine.recall_at is None:
+        if machine.reclaim_at is None:
             return
-        for hold in list(machine.holds.values()):
-            job = self._jobs.get(hold.task.job)
-            if job is not None and job.gang and not job.aborted and not hold.replaced:
-                self._evacuate(job, machine, hold, machine.recall_at - now, now)
+        for allocation in list(machine.allocations.values()):
+            job = self._jobs.get(allocation.task.job)
+            if job is not None and job.gang and not job.cancelled and not allocation.replaced:
+                self._evacuate(job, machine, allocation, machine.reclaim_at - now, now)
 
     def _evacuate(
-        self, job: Job, machine: Machine, hold: Hold, notice_s: float, now: Seconds
+        self, job: Job, machine: Machine, allocation: Allocation, notice_s: float, now: Seconds
     ) -> None:
         decision = on_notice(
             job.spec,
-            list(holds_of(self._ledger, job)),
+            list(allocations_of(self._cluster, job)),
             self._scorer.remaining_s(job) - job.progress.ran_s(now),
             notice_s,
             self._term.deployment,
@@ -140,8 +146,8 @@
         )
         match decision:
             case OnNotice.REPLACE:
-                hold.replaced = True
-                self._withdraw(machine, hold, 0.0)
+                allocation.replaced = True
+                self._stop_attempt(machine, allocation, 0.0)
             case OnNotice.STOP_AND_SAVE:
                 self.stop(job, job.spec.save_s)
             case OnNotice.STOP:
--- a/src/crosscleat/core/control/leader.py
+++ b/src/crosscleat/core/control/leader.py
@@ -13,39 +13,39 @@
 from ..capacity.fleet import Fleet
 from ..capacity.interruptions import InterruptionStats
 from ..capacity.machines import Machines
-from ..capacity.scaling import Renting
+from ..capacity.scaling import Autoscaler
 from ..election.election import Election
 from ..election.term import LeadingTerm
 from ..model import heartbeats
 from ..model.cloud import MachineType
 from ..model.deployment import Deployment, is_backfill
-from ..model.effects import Answer, Outbox
-from ..model.heartbeats import Report, TaskReport, unknown_words
+from ..model.effects import Outbox, Response
+from ..model.heartbeats import Heartbeat, TaskStatus, unknown_words
 from ..model.ids import Attempt, JobRef, Seconds, TaskId, Token, TypeName, WallTime
 from ..model.job_spec import Shape
 from ..model.store_calls import Item
 from ..scheduling.free_capacity import troubled
 from ..scheduling.scoring import RunTimes, Scorer
-from ..state.allocations import Hold
-from ..state.cluster import Ledger
-from ..state.decommission_records import DropRecords
+from ..state.allocations import Allocation
+from ..state.cluster import ClusterState
+from ..state.decommission_records import DecommissionRecords
 from ..state.job_records import spec_of
 from ..state.jobs import Job
 from ..state.machine import Machine
-from ..state.placement_records import WorkRecords
+from ..state.placement_records import PlacementRecords
 from .commands import Commands
-from .gang_control import GangControl, holds_of
+from .gang_control import GangControl, allocations_of
 from .liveness import UNBROKEN_LEASES, Liveness
-from .scheduler import Scheduling
+from .scheduler import Scheduler
 from .writer import Writer
 
 SLOW_START_S = 2.0
 """Starts later than that are logged."""
 
-SUSPECT_JOBS = 2
+QUARANTINE_JOBS = 2
 """A machine on which so many jobs failed is taken for faulty."""
 
-AT_ONCE = (None, heartbeats.STOPPED, heartbeats.MATES_GONE, heartbeats.INCOMPLETE)
+AT_ONCE = (None, heartbeats.STOPPED, heartbeats.GANG_MEMBER_LOST, heartbeats.INCOMPLETE)
 """Ends that say nothing against the task or its machine: it may be placed again at once."""
 
 FULL_PAUSE_S = 4.0
@@ -57,12 +57,12 @@
 ENDED_PAUSE_S = 2.0
 """Before a task is tried again that ended in another way."""
 
-MOST_FAILED_PAUSE_S = 60.0
+MAX_FAILED_PAUSE_S = 60.0
 """The longest pause of a task that fails again and again."""
 
 FIRST_ATTEMPT = Attempt(1)
 
-MOST_UNKNOWN_WORDS = 100
+MAX_UNKNOWN_WORDS = 100
 """Of reports' unknown states and causes so many are remembered and logged."""
 
 IN_TIME_SHARE = 0.7
@@ -71,7 +71,7 @@
 SAVE_SHARE = 0.5
 """A task saves on a notice if that takes no more than this part of it."""
 
-MOST_COUNTS = 5_000
+MAX_COUNTS = 5_000
 """Jobs whose counts one message shows; others follow with the next."""
 
 WATCHED_PER_S = 10_000
@@ -89,7 +89,7 @@
         self,
         deployment: Deployment,
         election: Election,
-        out: Outbox,
+        outbox: Outbox,
         rng: Random,
         types: dict[TypeName, MachineType],
         now: Seconds,
@@ -97,30 +97,36 @@
         cut: bool = True,
     ) -> None:
         self.deployment = deployment
-        self.knobs = deployment.knobs
+        self.tuning = deployment.tuning
         self.election = election
-        self.out = out
+        self.outbox = outbox
         self.rng = rng
-        self.term = LeadingTerm(deployment, election, out, now)
+        self.term = LeadingTerm(deployment, election, outbox, now)
         self._wall_offset = wall - now
         self.jobs: dict[JobRef, Job] = {}
-        self.ledger = Ledger()
-        self.work = WorkRecords(deployment.value_kb, deployment.txn_ops, cut)
-        self.drops = DropRecords(deployment.value_kb)
+        self.cluster = ClusterState()
+        self.placement_records = PlacementRecords(deployment.value_kb, deployment.txn_ops, cut)
+        self.decommission_records = DecommissionRecords(deployment.value_kb)
         self.run_times = RunTimes()
         self.scorer = Scorer(deployment, self.run_times)
-        self.fleet = Fleet(deployment.knobs, self.scorer.due, self.scorer.remaining_s)
+        self.fleet = Fleet(
+            deployment.tuning, self.scorer.completion_target_s, self.scorer.remaining_s
+        )
         self.fleet.types = types
         self.interruptions = InterruptionStats()
         self.commands = Commands(
-            self.term, self.jobs, self.ledger, self._answered_directly, self._missed_directly
+            self.term,
+            self.jobs,
+            self.cluster,
+            self._direct_reply_received,
+            self._direct_reply_missed,
         )
         self.writer = Writer(
             self.term,
             self.jobs,
-            self.ledger,
-            self.work,
-            self.drops,
+            self.cluster,
+            self.placement_records,
+            self.decommission_records,
             self._on_record,
             self._void_unrecorded,
             self._live_reread,
@@ -128,20 +134,22 @@
         )
         self.machines = Machines(
             self.term,
-            self.ledger,
+            self.cluster,
             self.fleet,
             self.interruptions,
-            self.drops,
-            lambda machine, hold: self.gone(machine, hold, self.term.now, None),
+            self.decommission_records,
+            lambda machine, allocation: self.attempt_ended(
+                machine, allocation, self.term.now, None
+            ),
             self.writer.changed,
-            self.commands.greet_later,
+            self.commands.queue_heartbeat_requests,
         )
         self.liveness = Liveness(
             deployment,
-            self.ledger,
+            self.cluster,
             election,
-            self.machines.drop,
-            self.commands.greet,
+            self.machines.decommission,
+            self.commands.request_heartbeat,
             self.commands.ask,
             now,
         )
@@ -149,39 +157,41 @@
         self.gangs = GangControl(
             self.term,
             self.jobs,
-            self.ledger,
+            self.cluster,
             self.scorer,
-            self._withdraw,
-            lambda job, left_s: self.scheduling.places_to_complete(job, left_s),
-            lambda job, machine: self.scheduling.place(job, machine),
+            self._stop_attempt,
+            lambda job, left_s: self.scheduler.places_to_complete(job, left_s),
+            lambda job, machine: self.scheduler.place(job, machine),
         )
-        self.scheduling = Scheduling(
+        self.scheduler = Scheduler(
             self.term,
             self.jobs,
-            self.ledger,
+            self.cluster,
             self.fleet,
             self.scorer,
             self.run_times,
             self.machines,
             self.gangs,
-            self.work,
+            self.placement_records,
             self.writer,
             self._preempt,
-            lambda machine, hold: self.gone(machine, hold, self.term.now, None),
+            lambda machine, allocation: self.attempt_ended(
+                machine, allocation, self.term.now, None
+            ),
             rng,
         )
-        self.renting = Renting(
+        self.autoscaler = Autoscaler(
             self.term,
             self.jobs,
-            self.ledger,
+            self.cluster,
             self.fleet,
             self.scorer,
             self.interruptions,
             self.machines.enter_rented,
-            self.machines.drop,
+            self.machines.decommission,
             self._release,
         )
-        self._full_round_at = now
+        self._full_cycle_at = now
         self._watch_at = now
         self._unknown_words: set[str] = set()
         """States and causes in reports that were logged as unknown."""
@@ -189,55 +199,61 @@
 
     # Taking over
 
-    def load(self, live: list[Item], work: list[Item], drops: list[Item], now: Seconds) -> None:
+    def load(
+        self,
+        live: list[Item],
+        placement_records: list[Item],
+        decommission_records: list[Item],
+        now: Seconds,
+    ) -> None:
         """Go on from what an earlier leader left in the store."""
         for item in live:
             job = self._read_job(item, now)
             self.jobs[job.ref] = job
-        self.renting.first_term = not (work or drops)
-        self.work.load(work, self.jobs)
-        self.writer.remove(self.work.superseded())
+        self.autoscaler.first_term = not (placement_records or decommission_records)
+        self.placement_records.load(placement_records, self.jobs)
+        self.writer.remove(self.placement_records.superseded())
         for item, job in zip(live, list(self.jobs.values()), strict=True):
             job.loaded()
             if job.begun:
                 job.idle_since = now
-            self._load_holds(job, now)
+            self._load_allocations(job, now)
             if item.value["aborted"]:
-                self._abort(job)
+                self._cancel(job)
             elif job.gang:
                 self.gangs.resume(job)
             self.writer.see_end(job)
-        for machine_id in self.drops.load(drops):
+        for machine_id in self.decommission_records.load(decommission_records):
             machine = self.machines.enter_recorded(machine_id)
-            machine.dropping = machine.drop_recorded = True
+            machine.decommissioning = machine.decommission_recorded = True
 
     def _read_job(self, item: Item, now: Seconds) -> Job:
         wall = WallTime(item.value["at"])
         submitted = Seconds(min(now, wall - self._wall_offset))
-        job = Job(spec_of(item.value), item.version, submitted, self.work.span)
+        job = Job(spec_of(item.value), item.version, submitted, self.placement_records.chunk_length)
         job.backfill = is_backfill(job.spec, self.deployment.teams)
         return job
 
-    def _load_holds(self, job: Job, now: Seconds) -> None:
+    def _load_allocations(self, job: Job, now: Seconds) -> None:
         for chunk in job.chunks.values():
             for number, placed in chunk.placed.items():
                 machine = self.machines.enter_recorded(placed.machine)
-                hold = Hold(
+                allocation = Allocation(
                     TaskId(job.ref, number),
                     placed.attempt,
                     job.spec,
                     machine.id,
                     machine.zone,
-                    placed.session,
+                    placed.agent_epoch,
                     recorded=True,
                     sent=True,
                     placed_at=now,
                 )
-                self.ledger.add(machine, hold)
+                self.cluster.add(machine, allocation)
 
     # Jobs as users change them
 
-    def live_news(self, changes: Iterable[Item], now: Seconds) -> None:
+    def apply_job_changes(self, changes: Iterable[Item], now: Seconds) -> None:
         """Take in what users submitted or cancelled."""
         for change in changes:
             ref = JobRef(change.key.partition("/")[2])
@@ -248,65 +264,69 @@
                 job = self.jobs[ref] = self._read_job(change, now)
                 self.fleet.arrived(job, now)
                 job.at_risk = self.interruptions.at_risk(job, self.scorer, now)
-                self.scheduling.wanted = True
+                self.scheduler.wanted = True
                 if change.value["aborted"]:
-                    self._abort(job)
+                    self._cancel(job)
             elif change.version > job.version:
                 job.version = change.version
-                job.settling = False
+                job.needs_reread = False
                 self.writer.changed()
                 if change.value["aborted"]:
-                    self._abort(job)
+                    self._cancel(job)
 
-    def _abort(self, job: Job) -> None:
-        if job.aborted:
+    def _cancel(self, job: Job) -> None:
+        if job.cancelled:
             return
-        job.aborted = True
+        job.cancelled = True
         self.writer.changed()
-        for machine, hold in list(holds_of(self.ledger, job)):
-            self._withdraw(machine, hold, 0.0)
+        for machine, allocation in list(allocations_of(self.cluster, job)):
+            self._stop_attempt(machine, allocation, 0.0)
         self.writer.see_end(job)
 
-    def _withdraw(self, machine: Machine, hold: Hold, grace_s: float) -> None:
+    def _stop_attempt(self, machine: Machine, allocation: Allocation, grace_s: float) -> None:
         """Stop the attempt; its hold stays until it is proven gone."""
-        hold.withdrawn = True
-        hold.grace_s = grace_s
-        self.commands.kick(machine.id)
-        if not hold.listed and not machine.may_still_start(hold):
-            self.gone(machine, hold, self.term.now, None)
+        allocation.stopping = True
+        allocation.grace_s = grace_s
+        self.commands.send_soon(machine.id)
+        if not allocation.listed and not machine.may_still_start(allocation):
+            self.attempt_ended(machine, allocation, self.term.now, None)
 
-    def _preempt(self, machine: Machine, hold: Hold) -> None:
+    def _preempt(self, machine: Machine, allocation: Allocation) -> None:
         """Stop the attempt, with time to save its progress if it can."""
-        self._withdraw(machine, hold, hold.spec.save_s if hold.spec.checkpoint_s > 0 else 0.0)
+        self._stop_attempt(
+            machine, allocation, allocation.spec.save_s if allocation.spec.checkpoint_s > 0 else 0.0
+        )
 
     def _release(self, machine: Machine) -> None:
         """Stop what is on the machine, which is returned when the last of it is gone."""
         machine.surplus = True
-        self.out.note("info", f"machine {machine.id}: only backfill runs on it, draining")
-        for hold in list(machine.holds.values()):
-            self._preempt(machine, hold)
+        self.outbox.log("info", f"machine {machine.id}: only backfill runs on it, draining")
+        for allocation in list(machine.allocations.values()):
+            self._preempt(machine, allocation)
 
     # Workers
 
-    def check_in(self, request: int, report: Report, now: Seconds, relayed: bool) -> None:
+    def receive_heartbeat(
+        self, request: int, heartbeat: Heartbeat, now: Seconds, relayed: bool
+    ) -> None:
         """Take in a worker's report and answer it."""
         if not relayed:
             self.liveness.reached(now)
         token = self.election.token
-        if not self._may_answer(report, token, now):
-            self.out.add(Answer(request, 503, retry_after_s=1))
+        if not self._may_answer(heartbeat, token, now):
+            self.outbox.add(Response(request, 503, retry_after_s=1))
             return
-        machine = self.machines.enter_reported(report)
-        if self._outdated(machine, report):
+        machine = self.machines.enter_reported(heartbeat)
+        if self._outdated(machine, heartbeat):
             # Late, or repeated: the worker has given this one up and drops any answer.
-            self.out.add(Answer(request, 503, retry_after_s=1))
+            self.outbox.add(Response(request, 503, retry_after_s=1))
             return
-        self.liveness.listen(machine, report, now)
-        self._apply(machine, report, now, check_in=True)
-        self.liveness.checked_in(now)
-        if not machine.known:
-            self.commands.greet_later([machine])
-        self.commands.answer(request, machine, now, report.seen.tally)
+        self.liveness.listen(machine, heartbeat, now)
+        self._apply(machine, heartbeat, now, receive_heartbeat=True)
+        self.liveness.heartbeat_received(now)
+        if not machine.confirmed:
+            self.commands.queue_heartbeat_requests([machine])
+        self.commands.answer(request, machine, now, heartbeat.heartbeat_id.sequence)
         if now - machine.answered_at > UNBROKEN_LEASES * self.deployment.lease_s:
             # Reports held up in a cut come all at once, long after their workers gave them up.
             machine.answered_from = now
@@ -314,171 +334,190 @@
         shows_term = machine.shown_token >= self.term.began_token
         machine.last_answer = now if shows_term else max(machine.last_answer, now)
 
-    def _may_answer(self, report: Report, token: Token | None, now: Seconds) -> bool:
+    def _may_answer(self, heartbeat: Heartbeat, token: Token | None, now: Seconds) -> bool:
         """Whether an answer of ours may renew this worker's lease."""
         if token is None or now > self.term.renew_until():
             return False
-        if report.token > token:
+        if heartbeat.token > token:
             self.election.resign("a worker has seen a higher token")
             return False
         # A deleted machine's report is an old one that was held up on its way.
-        return report.machine not in self.machines.tombstones
+        return heartbeat.machine not in self.machines.tombstones
 
-    def _outdated(self, machine: Machine, report: Report) -> bool:
+    def _outdated(self, machine: Machine, heartbeat: Heartbeat) -> bool:
         """Not newer than what we know of the machine.
 
         A worker's highest token never falls while its sessions and tallies rise. A report that is
         newer by those and shows a lower token than we saw is of another life of that machine:
         an old copy from before it lost power, or one that has begun anew.
         """
-        return report.seen <= machine.seen or report.token < machine.shown_token
+        return (
+            heartbeat.heartbeat_id <= machine.heartbeat_id or heartbeat.token < machine.shown_token
+        )
 
-    def _answered_directly(self, machine: Machine, report: Report) -> None:
+    def _direct_reply_received(self, machine: Machine, heartbeat: Heartbeat) -> None:
         self.liveness.reached(self.term.now)
-        if report.machine == machine.id:
-            self.hear_directly(report)
+        if heartbeat.machine == machine.id:
+            self.receive_direct_reply(heartbeat)
 
-    def _missed_directly(self, machine: Machine) -> None:
+    def _direct_reply_missed(self, machine: Machine) -> None:
         self.liveness.missed(machine)
 
-    def hear_directly(self, report: Report) -> None:
+    def receive_direct_reply(self, heartbeat: Heartbeat) -> None:
         """A report that answers a direct message, ours or another controller's."""
-        machine = self.ledger.machines.get(report.machine)
-        if report.token > (self.election.token or 0):
+        machine = self.cluster.machines.get(heartbeat.machine)
+        if heartbeat.token > (self.election.token or 0):
             self.election.resign("a worker has seen a higher token")
-        elif machine is not None and not self._outdated(machine, report):
-            self.machines.describe(machine, report.type, report.zone, report.spot)
-            self._apply(machine, report, self.term.now, check_in=False)
+        elif machine is not None and not self._outdated(machine, heartbeat):
+            self.machines.describe(machine, heartbeat.type, heartbeat.zone, heartbeat.spot)
+            self._apply(machine, heartbeat, self.term.now, receive_heartbeat=False)
             machine.last_heard = self.term.now
 
-    def _apply(self, machine: Machine, report: Report, now: Seconds, check_in: bool) -> None:
+    def _apply(
+        self, machine: Machine, heartbeat: Heartbeat, now: Seconds, receive_heartbeat: bool
+    ) -> None:
         """Take in a report newer than all before it."""
-        self._log_unknown_words(report)
-        self._note_age(machine, report, now, check_in)
-        shows_term = report.token >= self.term.began_token
+        self._log_unknown_words(heartbeat)
+        self._note_age(machine, heartbeat, now, receive_heartbeat)
+        shows_term = heartbeat.token >= self.term.began_token
         if shows_term:
             # Without our token it may be a copy from before the machine lost power and began to
             # count anew: what was placed there since is in an earlier session, and runs.
-            for hold in self.ledger.before_session(machine, report.seen.session):
-                self.gone(machine, hold, now, None)
-        listed = {(task.task, task.attempt): task for task in report.tasks}
-        machine.take_list(listed)
-        for key, hold in list(machine.holds.items()):
-            self._compare(machine, hold, listed.get(key), now)
-        if check_in and machine.known and self._restarted(machine, report):
-            self.machines.drop(machine, "it has begun anew")
+            for allocation in self.cluster.allocations_before_epoch(
+                machine, heartbeat.heartbeat_id.agent_epoch
+            ):
+                self.attempt_ended(machine, allocation, now, None)
+        listed = {(task.task, task.attempt): task for task in heartbeat.tasks}
+        machine.update_task_list(listed)
+        for key, allocation in list(machine.allocations.items()):
+            self._compare(machine, allocation, listed.get(key), now)
+        if receive_heartbeat and machine.confirmed and self._restarted(machine, heartbeat):
+            self.machines.decommission(machine, "it has begun anew")
         # Last: what is withdrawn and not listed counts as gone, so the list must be this report's.
-        if report.notice_s is not None and machine.recall_at is None:
-            machine.recall_at = Seconds(now + report.notice_s)
+        if heartbeat.notice_s is not None and machine.reclaim_at is None:
+            machine.reclaim_at = Seconds(now + heartbeat.notice_s)
             self.interruptions.taken()
-            self._evacuate(machine, report.notice_s, now)
+            self._evacuate(machine, heartbeat.notice_s, now)
 
-    def _note_age(self, machine: Machine, report: Report, now: Seconds, check_in: bool) -> None:
+    def _note_age(
+        self, machine: Machine, heartbeat: Heartbeat, now: Seconds, receive_heartbeat: bool
+    ) -> None:
         """What the report's session, tally and token say of the machine."""
-        later_session = report.seen.session > machine.seen.session
-        machine.seen = report.seen
+        later_session = heartbeat.heartbeat_id.agent_epoch > machine.heartbeat_id.agent_epoch
+        machine.heartbeat_id = heartbeat.heartbeat_id
         self.liveness.heard()
-        if check_in:
-            machine.checked = report.seen.tally
+        if receive_heartbeat:
+            machine.heartbeat_sequence = heartbeat.heartbeat_id.sequence
         elif later_session:
-            machine.checked = 0
-        machine.shown_token = max(machine.shown_token, report.token)
-        if report.token >= self.term.began_token:
+            machine.heartbeat_sequence = 0
+        machine.shown_token = max(machine.shown_token, heartbeat.token)
+        if heartbeat.token >= self.term.began_token:
             # It has heard us: this is no copy from before our term.
-            machine.known = True
+            machine.confirmed = True
         if not machine.up:
             machine.up = True
-            self.scheduling.wanted = True
+            self.scheduler.wanted = True
         if later_session:
             # A session's lease also runs from its beginning, answered or not.
             machine.last_answer = max(machine.last_answer, now)
-            machine.begin_session()
+            machine.begin_agent_epoch()
 
-    def _log_unknown_words(self, report: Report) -> None:
+    def _log_unknown_words(self, heartbeat: Heartbeat) -> None:
         """Once for each word: a later version of the workers may use more of them."""
-        unknown = unknown_words(report) - self._unknown_words
-        if unknown and len(self._unknown_words) < MOST_UNKNOWN_WORDS:
+        unknown = unknown_words(heartbeat) - self._unknown_words
+        if unknown and len(self._unknown_words) < MAX_UNKNOWN_WORDS:
             self._unknown_words |= unknown
             words = ", ".join(repr(word[:40]) for word in sorted(unknown)[:5])
-            self.out.note("info", f"machine {report.machine} reports unknown words: {words}")
+            self.outbox.log("info", f"machine {heartbeat.machine} reports unknown words: {words}")
 
-    def _restarted(self, machine: Machine, report: Report) -> bool:
+    def _restarted(self, machine: Machine, heartbeat: Heartbeat) -> bool:
         """It counts its sessions from 1 again: they prove nothing of what was placed there."""
-        return any(hold.session > report.seen.session for hold in machine.holds.values())
+        return any(
+            allocation.agent_epoch > heartbeat.heartbeat_id.agent_epoch
+            for allocation in machine.allocations.values()
+        )
 
-    def _compare(self, machine: Machine, hold: Hold, task: TaskReport | None, now: Seconds) -> None:
+    def _compare(
+        self, machine: Machine, allocation: Allocation, task: TaskStatus | None, now: Seconds
+    ) -> None:
         """What the newest report says of this attempt."""
         if task is None:
-            hold.listed = False
-            if hold.withdrawn and not machine.may_still_start(hold):
-                self.gone(machine, hold, now, None)
+            allocation.listed = False
+            if allocation.stopping and not machine.may_still_start(allocation):
+                self.attempt_ended(machine, allocation, now, None)
             return
-        hold.listed = hold.sent = True
+        allocation.listed = allocation.sent = True
         if task.state == heartbeats.EXITED:
-            self._exited(machine, hold, task, now)
+            self._exited(machine, allocation, task, now)
             return
-        hold.state = task.state
-        job = self.jobs.get(hold.task.job)
+        allocation.state = task.state
+        job = self.jobs.get(allocation.task.job)
         if job is not None and job.gang and task.state == heartbeats.WAITING:
             job.progress.waits(now)
-        if task.state == heartbeats.RUNNING and hold.running_since is None:
-            self._runs(machine, hold, job, now)
+        if task.state == heartbeats.RUNNING and allocation.running_since is None:
+            self._runs(machine, allocation, job, now)
 
-    def _runs(self, machine: Machine, hold: Hold, job: Job | None, now: Seconds) -> None:
+    def _runs(
+        self, machine: Machine, allocation: Allocation, job: Job | None, now: Seconds
+    ) -> None:
         """The attempt was seen to run for the first time."""
-        hold.running_since = now
-        machine.use_image(hold.spec.image, hold.spec.image_gb, now)
-        machine.images[hold.spec.image] = min(now, machine.images[hold.spec.image])
+        allocation.running_since = now
+        machine.use_image(allocation.spec.image, allocation.spec.image_gb, now)
+        machine.images[allocation.spec.image] = min(now, machine.images[allocation.spec.image])
         if job is None:
             return
         if job.gang:
             job.progress.runs(now)
         waited_s = now - job.submitted
-        if waited_s > SLOW_START_S and hold.placed_at > self.term.began:
-            self.out.note(
+        if waited_s > SLOW_START_S and allocation.placed_at > self.term.began:
+            self.outbox.log(
                 "debug",
-                f"task {hold.task} ({hold.spec.job_class}) runs {waited_s:.1f} s after it was "
-                f"submitted, {now - hold.placed_at:.1f} s after attempt {hold.attempt} was "
-                f"placed on {machine.id}",
+                f"task {allocation.task} ({allocation.spec.job_class}) runs {waited_s:.1f} s "
+                f"after it was submitted, {now - allocation.placed_at:.1f} s after attempt "
+                f"{allocation.attempt} was placed on {machine.id}",
             )
 
-    def _exited(self, machine: Machine, hold: Hold, task: TaskReport, now: Seconds) -> None:
+    def _exited(
+        self, machine: Machine, allocation: Allocation, task: TaskStatus, now: Seconds
+    ) -> None:
         cause = task.cause or ""
         if cause == heartbeats.DONE:
-            self._learn_run_time(hold, now)
+            self._learn_run_time(allocation, now)
             machine.errors.clear()
-        job = self.jobs.get(hold.task.job)
+        job = self.jobs.get(allocation.task.job)
         if job is not None and job.gang and task.saved:
             job.progress.end_attempt(job.spec, now, saved=True)
-        self.gone(machine, hold, now, cause)
+        self.attempt_ended(machine, allocation, now, cause)
 
-    def _learn_run_time(self, hold: Hold, now: Seconds) -> None:
+    def _learn_run_time(self, allocation: Allocation, now: Seconds) -> None:
         """Compare a completed run with its estimate, if it was a whole run that we saw begin.
 
         A gang runs as its slowest machine does and counts once, not once for each task.
         """
-        whole = hold.attempt == FIRST_ATTEMPT or hold.spec.checkpoint_s <= 0
-        if hold.running_since is None or hold.placed_at <= self.term.began or not whole:
+        whole = allocation.attempt == FIRST_ATTEMPT or allocation.spec.checkpoint_s <= 0
+        if allocation.running_since is None or allocation.placed_at <= self.term.began or not whole:
             return
-        job = self.jobs.get(hold.task.job)
+        job = self.jobs.get(allocation.task.job)
         if job is not None and job.gang and job.done_count:
             return
-        self.run_times.learn(hold.spec, now - hold.running_since)
+        self.run_times.learn(allocation.spec, now - allocation.running_since)
 
-    def gone(self, machine: Machine, hold: Hold, now: Seconds, cause: str | None) -> None:
+    def attempt_ended(
+        self, machine: Machine, allocation: Allocation, now: Seconds, cause: str | None
+    ) -> None:
         """The attempt is proven gone, by its exit's cause or, with None, without a result."""
-        self.ledger.remove(machine, hold)
-        self.scheduling.wanted = True
+        self.cluster.remove(machine, allocation)
+        self.scheduler.wanted = True
         self.writer.changed()
-        job = self.jobs.get(hold.task.job)
-        number = hold.task.number
-        if job is None or not job.is_current(number, hold.attempt, machine.id):
+        job = self.jobs.get(allocation.task.job)
+        number = allocation.task.number
+        if job is None or not job.is_current(number, allocation.attempt, machine.id):
             return
         job.idle_since = now
-        self.work.of(job, job.chunk_of(number)).want(None, now)
+        self.placement_records.of(job, job.chunk_of(number)).want(None, now)
         if cause == heartbeats.DONE or (job.gang and job.done_count):
             self._finish(job, number)
-        elif job.aborted:
+        elif job.cancelled:
             job.requeue(number, None)
             self.writer.see_end(job)
         else:
@@ -517,31 +556,31 @@
         job.failures[number] = failures
         job.failed_on.add(machine.id)
         machine.errors.add(job.ref)
-        if not machine.suspect and self._blamed(machine):
-            machine.suspect = True
-            self.out.note("info", f"machine {machine.id}: several jobs fail on it, draining")
+        if not machine.quarantined and self._blamed(machine):
+            machine.quarantined = True
+            self.outbox.log("info", f"machine {machine.id}: several jobs fail on it, draining")
         if failures == 1 and job.succeeded:
             return 0.0
-        return min(MOST_FAILED_PAUSE_S, 0.5 * 2.0**failures)
+        return min(MAX_FAILED_PAUSE_S, 0.5 * 2.0**failures)
 
     def _blamed(self, machine: Machine) -> bool:
         """Whether several jobs failed on it, leaving out those that fail wherever they are."""
         jobs = (self.jobs.get(JobRef(ref)) for ref in machine.errors)
-        return sum(1 for job in jobs if job and not troubled(job)) >= SUSPECT_JOBS
+        return sum(1 for job in jobs if job and not troubled(job)) >= QUARANTINE_JOBS
 
     def _evacuate(self, machine: Machine, notice_s: float, now: Seconds) -> None:
         """Stop what the notice leaves no time for, so that it starts elsewhere sooner."""
-        self.out.note("info", f"machine {machine.id}: to be taken back in {notice_s:.0f} s")
+        self.outbox.log("info", f"machine {machine.id}: to be taken back in {notice_s:.0f} s")
         self.gangs.evacuate(machine, now)
-        for hold in list(machine.holds.values()):
-            spec = hold.spec
+        for allocation in list(machine.allocations.values()):
+            spec = allocation.spec
             if spec.shape is Shape.GANG:
                 continue
-            ran = now - (hold.running_since if hold.running_since is not None else now)
+            ran = now - (allocation.running_since if allocation.running_since is not None else now)
             if self.run_times.estimate(spec) - ran < IN_TIME_SHARE * notice_s:
                 continue
             saves = spec.checkpoint_s > 0 and spec.save_s < SAVE_SHARE * notice_s
-            self._withdraw(machine, hold, spec.save_s if saves else 0.0)
+            self._stop_attempt(machine, allocation, spec.save_s if saves else 0.0)
 
     # What the writer tells
 
@@ -549,32 +588,32 @@
         """The places of these tasks are on record: their starts may be sent."""
         for number in numbers:
             placed = job.chunk_of(number).placed[number]
-            found = self.ledger.find(job.ref, number, placed.attempt, placed.machine)
+            found = self.cluster.find(job.ref, number, placed.attempt, placed.machine)
             if found is None:
                 continue
-            machine, hold = found
-            hold.recorded = True
-            if not hold.withdrawn:
-                self.commands.kick(machine.id)
+            machine, allocation = found
+            allocation.recorded = True
+            if not allocation.stopping:
+                self.commands.send_soon(machine.id)
         if job.gang and numbers and job.whole:
             # Those recorded before waited for the last.
-            for machine, _ in holds_of(self.ledger, job):
-                self.commands.kick(machine.id)
+            for machine, _ in allocations_of(self.cluster, job):
+                self.commands.send_soon(machine.id)
 
     def _void_unrecorded(self, job: Job) -> None:
         """The user cancelled the job: what was not on record was never sent, and is void."""
-        for machine, hold in list(holds_of(self.ledger, job)):
-            if not hold.recorded:
-                self.gone(machine, hold, self.term.now, None)
+        for machine, allocation in list(allocations_of(self.cluster, job)):
+            if not allocation.recorded:
+                self.attempt_ended(machine, allocation, self.term.now, None)
 
     def _live_reread(self, item: Item) -> None:
-        self.live_news([item], self.term.now)
+        self.apply_job_changes([item], self.term.now)
 
     def _end_recorded(self, job: Job) -> None:
         """The job's end is on record: nothing needs to be known of it any more."""
         del self.jobs[job.ref]
         self._progress_sent.pop(job.ref, None)
-        self.out.note("debug", f"job {job.ref} over")
+        self.outbox.log("debug", f"job {job.ref} over")
 
     # Time
 
@@ -584,40 +623,44 @@
             if job.resting:
                 job.wake(now)
         if self.gangs.any_incomplete:
-            self.scheduling.wanted = True
+            self.scheduler.wanted = True
         self.liveness.tick()
-        machines = len(self.ledger.machines)
+        machines = len(self.cluster.machines)
         if now >= self._watch_at:
             self._watch_at = Seconds(now + machines / WATCHED_PER_S - TICK_SLACK_S)
             self.watch_machines(now)
         if self.term.retired:
             return
-        self.commands.greet_some()
-        if now >= self._full_round_at:
-            self._full_round_at = Seconds(now + self.knobs.round_s)
-            self.scheduling.wanted = True
+        self.commands.send_heartbeat_requests()
+        if now >= self._full_cycle_at:
+            self._full_cycle_at = Seconds(now + self.tuning.round_s)
+            self.scheduler.wanted = True
             self.writer.remove(self.machines.forget_old(now, self.writer.writing))
-            self.scheduling.give_out_parts(now)
-        self.renting.adjust(now)
+            self.scheduler.dispatch_shards(now)
+        self.autoscaler.adjust(now)
         self.machines.list_if_due(now, self.liveness.doubtful)
         self.machines.delete_recorded(now)
 
     def watch_machines(self, now: Seconds) -> None:
         """Whom to ask after, to free or to return."""
-        machines = list(self.ledger.machines.values())
+        machines = list(self.cluster.machines.values())
         self.liveness.watch(machines, now)
         if self.term.retired:
             return
         for machine in machines:
-            if machine.recall_at is not None and machine.holds and not machine.dropping:
+            if (
+                machine.reclaim_at is not None
+                and machine.allocations
+                and not machine.decommissioning
+            ):
                 self.gangs.evacuate(machine, now)
             self.machines.watch(machine, now)
 
-    def settle(self, now: Seconds) -> None:
+    def finish_step(self, now: Seconds) -> None:
         """At the end of every step: plan, write what changed and send what was written."""
         if self.term.retired:
             return
-        self.scheduling.run_if_due(now)
+        self.scheduler.run_if_due(now)
         if self.writer.flush(now, self.commands.rotation_wanted):
             self.commands.rotation_wanted = False
         self.commands.send_direct(now)
@@ -627,14 +670,14 @@
     def progress(self) -> dict[str, tuple[int, int]]:
         """Done and running tasks of the jobs for which they changed: for display only."""
         running = Counter(
-            hold.task.job
-            for machine in self.ledger.machines.values()
-            for hold in machine.holds.values()
-            if hold.state == heartbeats.RUNNING
+            allocation.task.job
+            for machine in self.cluster.machines.values()
+            for allocation in machine.allocations.values()
+            if allocation.state == heartbeats.RUNNING
         )
         changed: dict[str, tuple[int, int]] = {}
         for job in self.jobs.values():
-            if len(changed) >= MOST_COUNTS:
+            if len(changed) >= MAX_COUNTS:
                 break
             now = (job.done_count, running[job.ref])
             if self._progress_sent.get(job.ref) != now:
--- a/src/crosscleat/core/control/scheduler.py
+++ b/src/crosscleat/core/control/scheduler.py
@@ -10,18 +10,18 @@
 from ..capacity.machines import Machines
 from ..election.term import LeadingTerm
 from ..model.ids import JobRef, Member, Seconds
-from ..model.shards import Proposal
-from ..scheduling.cycle import MOST_CHOICES, Round
-from ..scheduling.free_capacity import Choice, fetch_time, within
+from ..model.shards import ShardProposal
+from ..scheduling.cycle import MAX_ASSIGNMENTS, SchedulingCycle
+from ..scheduling.free_capacity import Assignment, fetch_time, within
 from ..scheduling.preemption import INTERVAL_S, Preemption
 from ..scheduling.scoring import RunTimes, Scorer
-from ..scheduling.shard_dispatch import WorkSharing
-from ..state.allocations import Hold
-from ..state.cluster import Ledger
+from ..scheduling.shard_dispatch import ShardDispatcher
+from ..state.allocations import Allocation
+from ..state.cluster import ClusterState
 from ..state.jobs import Job
 from ..state.machine import Machine
-from ..state.placement_records import WorkRecords
-from .gang_control import GangControl, holds_of
+from ..state.placement_records import PlacementRecords
+from .gang_control import GangControl, allocations_of
 from .writer import Writer
 
 PROMPT_MACHINES = 1_500
@@ -31,41 +31,41 @@
 """The same with more jobs."""
 
 
-class Scheduling:
+class Scheduler:
     """Plans rounds, gives parts of them to other controllers and commits what is chosen."""
 
     def __init__(
         self,
         term: LeadingTerm,
         jobs: dict[JobRef, Job],
-        ledger: Ledger,
+        cluster: ClusterState,
         fleet: Fleet,
         scorer: Scorer,
         run_times: RunTimes,
         machines: Machines,
         gangs: GangControl,
-        work: WorkRecords,
+        placement_records: PlacementRecords,
         writer: Writer,
-        stop: Callable[[Machine, Hold], None],
-        gone: Callable[[Machine, Hold], None],
+        stop: Callable[[Machine, Allocation], None],
+        attempt_ended: Callable[[Machine, Allocation], None],
         rng: Random,
     ) -> None:
         """`stop`: an attempt is to make room; `gone`: it was never sent."""
         self._term = term
         self._jobs = jobs
-        self._ledger = ledger
+        self._cluster = cluster
         self._fleet = fleet
         self._scorer = scorer
         self._run_times = run_times
         self._machines = machines
         self._gangs = gangs
-        self._work = work
+        self._placement_records = placement_records
         self._writer = writer
         self._stop = stop
-        self._gone = gone
+        self._attempt_ended = attempt_ended
         self._rng = rng
-        self._sharing = WorkSharing(term, ledger, rng)
-        self._round_at = term.now
+        self._shards = ShardDispatcher(term, cluster, rng)
+        self._cycle_at = term.now
         self._preempt_at = term.now
         self._preempt_later = False
         """What waits was not looked at because this was done just before."""
@@ -75,41 +75,41 @@
     def run_if_due(self, now: Seconds) -> None:
         """Plan a round if something has changed, and not too soon after the one before."""
         preempts = self._preempt_later and now >= self._preempt_at
-        if (self.wanted or preempts) and now >= self._round_at:
-            self._round_at = Seconds(now + self._prompt_s())
+        if (self.wanted or preempts) and now >= self._cycle_at:
+            self._cycle_at = Seconds(now + self._prompt_s())
             self.wanted = False
-            self._round(now)
+            self._run_cycle(now)
 
     def _prompt_s(self) -> float:
         """The least time between two rounds: it bounds their part of the processor."""
-        machines = len(self._ledger.machines) / PROMPT_MACHINES
+        machines = len(self._cluster.machines) / PROMPT_MACHINES
         stretched = max(1.0, machines, len(self._jobs) / PROMPT_JOBS)
-        return stretched * self._term.deployment.knobs.prompt_round_s
+        return stretched * self._term.deployment.tuning.prompt_round_s
 
     def _may_place(self, now: Seconds) -> bool:
         return self._term.may_start(now) and bool(self._fleet.types)
 
-    def _round(self, now: Seconds) -> None:
+    def _run_cycle(self, now: Seconds) -> None:
         if not self._may_place(now):
             return
         if self._gangs.any_incomplete:
             self._gangs.complete(now)
         jobs = list(self._plannable())
         machines = self._usable(now)
-        mine = [job for job in jobs if not self._sharing.elsewhere(job, now)]
+        mine = [job for job in jobs if not self._shards.is_planned_elsewhere(job, now)]
         reservations = None
         if len(mine) < len(jobs):
-            reservations = self._new_round(now).reservations(jobs, machines)
-        planned = self._new_round(now).plan(mine, machines, MOST_CHOICES, reservations)
+            reservations = self._new_cycle(now).reservations(jobs, machines)
+        planned = self._new_cycle(now).plan(mine, machines, MAX_ASSIGNMENTS, reservations)
         self._commit(planned, now)
-        if len(planned) >= MOST_CHOICES:
+        if len(planned) >= MAX_ASSIGNMENTS:
             self.wanted = True
         else:
             self._preempt(mine, machines, now)
 
-    def _commit(self, planned: list[Choice], now: Seconds) -> None:
-        for ref, choices in groupby(planned, key=lambda choice: choice.job):
-            chosen = [self._ledger.machines[choice.machine] for choice in choices]
+    def _commit(self, planned: list[Assignment], now: Seconds) -> None:
+        for ref, assignments in groupby(planned, key=lambda assignment: assignment.job):
+            chosen = [self._cluster.machines[assignment.machine] for assignment in assignments]
             if self._jobs[ref].gang:
                 self.place_gang(self._jobs[ref], chosen, now)
                 continue
@@ -123,68 +123,73 @@
             return
         self._preempt_at = Seconds(now + INTERVAL_S)
         teams = self._term.deployment.teams
-        preemption = Preemption(self._ledger, teams, self._jobs, machines, self._rng, now)
+        preemption = Preemption(self._cluster, teams, self._jobs, machines, self._rng, now)
         victims = preemption.choose(jobs)
-        for machine, hold in victims:
-            self._stop(machine, hold)
+        for machine, allocation in victims:
+            self._stop(machine, allocation)
         if victims:
-            self._term.out.note("debug", f"{len(victims)} tasks stopped for more urgent work")
+            self._term.outbox.log("debug", f"{len(victims)} tasks stopped for more urgent work")
 
-    def _new_round(self, now: Seconds) -> Round:
-        return Round(
-            self._ledger,
+    def _new_cycle(self, now: Seconds) -> SchedulingCycle:
+        return SchedulingCycle(
+            self._cluster,
             self._scorer,
             self._term.deployment.teams,
             self._rng,
             now,
-            self._term.deployment.knobs.drop_threshold,
+            self._term.deployment.tuning.drop_threshold,
             self._urgent_reserve(),
             self._fleet.firm.one_job(),
             self._fleet.spare_cpus(),
         )
 
     def _plannable(self) -> Iterator[Job]:
-        return (job for job in self._jobs.values() if not job.aborted and not job.settling)
+        return (job for job in self._jobs.values() if not job.cancelled and not job.needs_reread)
 
     def _usable(self, now: Seconds) -> list[Machine]:
-        return [m for m in self._ledger.machines.values() if self._machines.usable(m, now)]
+        return [m for m in self._cluster.machines.values() if self._machines.usable(m, now)]
 
     def _urgent_reserve(self) -> float:
         """Room that work below urgent leaves free for urgent work to come."""
         return 0.5 * self._fleet.demand.one_job()
 
-    def places_to_complete(self, job: Job, left_s: float) -> list[Choice]:
+    def places_to_complete(self, job: Job, left_s: float) -> list[Assignment]:
         """Places for the tasks that a waiting gang lacks, startable in so many seconds."""
         now = self._term.now
         machines = [m for m in self._usable(now) if m.id not in job.progress.lost_on]
-        return self._new_round(now).complete_gang(job, machines, left_s)
+        return self._new_cycle(now).complete_gang(job, machines, left_s)
 
-    def give_out_parts(self, now: Seconds) -> None:
+    def dispatch_shards(self, now: Seconds) -> None:
         """At a full round, give the other owners their part of what waits."""
         if not self._may_place(now):
             return
-        parts = self._sharing.parts(self._plannable())
-        if not parts:
+        shards = self._shards.shards(self._plannable())
+        if not shards:
             return
         machines = self._usable(now)
-        left = self._new_round(now).left_to_ordinary_work(machines)
+        left = self._new_cycle(now).left_to_ordinary_work(machines)
         machines = [machine for machine in machines if machine.id not in left]
-        reservations = self._new_round(now).reservations(self._plannable(), machines)
+        reservations = self._new_cycle(now).reservations(self._plannable(), machines)
         factors = self._run_times.factors
-        self._sharing.give_out(parts, machines, reservations, self._urgent_reserve(), factors, now)
+        self._shards.dispatch(shards, machines, reservations, self._urgent_reserve(), factors, now)
 
-    def proposed(self, member: Member, proposal: Proposal, now: Seconds) -> None:
+    def proposed(self, member: Member, proposal: ShardProposal, now: Seconds) -> None:
         """Commit what still holds of an owner's choices; an outdated proposal is worth nothing."""
-        choices = self._sharing.accept(member, proposal)
-        if choices is None:
+        assignments = self._shards.accept(member, proposal)
+        if assignments is None:
             return
         self.wanted = True
         if not self._term.may_start(now):
             return
-        for choice in choices:
-            job = self._jobs.get(choice.job)
-            machine = self._ledger.machines.get(choice.machine)
-            if job is not None and machine is not None and not job.aborted and not job.settling:
+        for assignment in assignments:
+            job = self._jobs.get(assignment.job)
+            machine = self._cluster.machines.get(assignment.machine)
+            if (
+                job is not None
+                and machine is not None
+                and not job.cancelled
+                and not job.needs_reread
+            ):
                 self.place(job, machine)
 
     def _admits(self, job: Job, machine: Machine, now: Seconds) -> bool:
@@ -196,9 +201,9 @@
             and self._machines.usable(machine, now)
             and machine.fits(spec)
             and machine.allowed(spec)
-            and self._ledger.zone_allows(spec, machine.zone)
-            and within(self._ledger.team_cpus.get(spec.team, 0.0) + spec.cpus, limits.cpus_max)
-            and within(self._ledger.team_gpus.get(spec.team, 0.0) + spec.gpus, limits.gpus_max)
+            and self._cluster.zone_allows(spec, machine.zone)
+            and within(self._cluster.team_cpus.get(spec.team, 0.0) + spec.cpus, limits.cpus_max)
+            and within(self._cluster.team_gpus.get(spec.team, 0.0) + spec.gpus, limits.gpus_max)
         )
 
     def place_gang(self, job: Job, machines: list[Machine], now: Seconds) -> None:
@@ -209,8 +214,8 @@
             self.place(job, machine)
         if job.placed_count() < job.spec.tasks:
             # Nothing of it was sent or written: it is as if it had not been placed.
-            for machine, hold in list(holds_of(self._ledger, job)):
-                self._gone(machine, hold)
+            for machine, allocation in list(allocations_of(self._cluster, job)):
+                self._attempt_ended(machine, allocation)
 
     def place(self, job: Job, machine: Machine) -> None:
         """Commit a choice, ours or proposed, if everything that may be there still admits it."""
@@ -218,13 +223,19 @@
         if not self._admits(job, machine, now):
             return
         spec = job.spec
-        task, attempt = job.place(machine.id, machine.seen.session)
-        self._work.of(job, job.chunk_of(task.number)).want(spec.priority, now)
+        task, attempt = job.place(machine.id, machine.heartbeat_id.agent_epoch)
+        self._placement_records.of(job, job.chunk_of(task.number)).want(spec.priority, now)
         self._writer.changed()
-        hold = Hold(
-            task, attempt, spec, machine.id, machine.zone, machine.seen.session, placed_at=now
+        allocation = Allocation(
+            task,
+            attempt,
+            spec,
+            machine.id,
+            machine.zone,
+            machine.heartbeat_id.agent_epoch,
+            placed_at=now,
         )
-        self._ledger.add(machine, hold)
+        self._cluster.add(machine, allocation)
         last = max(machine.images.values(), default=now)
         ready = Seconds(max(now, last) + fetch_time(spec, machine.type))
         machine.use_image(spec.image, spec.image_gb, ready)
--- a/src/crosscleat/core/control/user_requests.py
+++ b/src/crosscleat/core/control/user_requests.py
@@ -15,7 +15,7 @@
 
 from ..model.cloud import MachineType
 from ..model.deployment import Deployment, team_can_hold
-from ..model.effects import Answer, Later, Outbox
+from ..model.effects import Delay, Outbox, Response
 from ..model.ids import ABSENT, LONG_AGO, JobRef, Seconds, TypeName, Version, WallTime
 from ..model.job_spec import JobSpec, Shape
 from ..model.store_calls import (
@@ -25,13 +25,13 @@
     Found,
     Item,
     Listing,
-    News,
     NoSuchLease,
     Put,
     Read,
     Record,
     Scan,
     Watch,
+    WatchResult,
 )
 from ..state.job_records import live_record, spec_of
 from ..state.keys import LIVE, ended_key, live_key
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
+class StatusQuery:
     """Somebody wants to know of a job; `unknown` is the answer if nobody submitted it."""
 
     request: int
@@ -61,14 +61,14 @@
     def __init__(
         self,
         deployment: Deployment,
-        out: Outbox,
+        outbox: Outbox,
         types: dict[TypeName, MachineType],
         clock: Callable[[], Seconds],
         all_know_gangs: Callable[[], bool],
     ) -> None:
         self._all_know_gangs = all_know_gangs
         self._deployment = deployment
-        self._out = out
+        self._outbox = outbox
         self._types = types
         self._clock = clock
         self._ended: OrderedDict[JobRef, Record] = OrderedDict()
@@ -78,7 +78,7 @@
         """Jobs that were live and have ended since, of which nobody has asked yet."""
         self._copied: Version | None = None
         """The revision that the copy has reached; None: it has to be read anew."""
-        self._questions: list[Question] = []
+        self._queries: list[StatusQuery] = []
         self._looking = False
         self._looked_at = LONG_AGO
         self.progress: dict[str, tuple[int, int]] = {}
@@ -105,7 +105,7 @@
             (live_key(spec.ref), ABSENT),
             (ended_key(spec.ref), ABSENT),
         )
-        write = Put(live_key(spec.ref), live_record(spec, wall, aborted=False))
+        write = Put(live_key(spec.ref), live_record(spec, wall, cancelled=False))
 
         def admitted(result: Committed | Conflict | NoSuchLease | None) -> None:
             if isinstance(result, Committed):
@@ -115,7 +115,7 @@
             else:
                 self._answer(request, 503)
 
-        self._out.add(Commit(conditions, (write,), admitted, patience_s=1.5, for_user=True))
+        self._outbox.add(Commit(conditions, (write,), admitted, patience_s=1.5, for_user=True))
 
     def refuse(self, request: int, ref: JobRef | None, status: int) -> None:
         """Refuse a submission, unless the job is known: then it was accepted before."""
@@ -130,13 +130,13 @@
             return 422
         if not self._types:
             return 503
-        if not any(kind.holds(spec) for kind in self._types.values()):
+        if not any(kind.has_capacity_for(spec) for kind in self._types.values()):
             return 422
         return None
 
     # GET /work/{id}
 
-    def poll(self, request: int, ref: JobRef) -> None:
+    def query(self, request: int, ref: JobRef) -> None:
         """Answer with the job's state."""
         self._look(request, ref, unknown=404)
 
@@ -145,18 +145,18 @@
         if ref in self._ended:
             self._answer_ended(request, ref)
             return
-        self._questions.append(Question(request, ref, unknown))
+        self._queries.append(StatusQuery(request, ref, unknown))
         if not self._looking:
             self._looking = True
             wait_s = self._looked_at + LOOK_S - self._clock()
             if wait_s > 0.0:
-                self._out.add(Later(wait_s, self._look_up))
+                self._outbox.add(Delay(wait_s, self._look_up))
             else:
                 self._look_up()
 
     def _look_up(self) -> None:
         """One request for all who have asked so far; who asks later waits for the next."""
-        asked, self._questions = self._questions, []
+        asked, self._queries = self._queries, []
         self._looked_at = self._clock()
 
         def scanned(listing: Listing | None) -> None:
@@ -166,22 +166,22 @@
                 self._copy(listing.items)
             self._reply(asked, found=listing is not None)
 
-        def heard(news: News | None) -> None:
-            if news is not None and news.lost:
+        def heard(watch_result: WatchResult | None) -> None:
+            if watch_result is not None and watch_result.lost:
                 # Too much has changed since: that copy is of no more use.
                 self._copied = None
-                self._out.add(Scan(LIVE, scanned, for_user=True))
+                self._outbox.add(Scan(LIVE, scanned, for_user=True))
                 return
-            if news is not None:
-                self._copied = max(after, news.revision)
-                self._copy(news.changes)
-            self._reply(asked, found=news is not None)
+            if watch_result is not None:
+                self._copied = max(after, watch_result.revision)
+                self._copy(watch_result.changes)
+            self._reply(asked, found=watch_result is not None)
 
         if self._copied is None:
-            self._out.add(Scan(LIVE, scanned, for_user=True))
+            self._outbox.add(Scan(LIVE, scanned, for_user=True))
         else:
             after = self._copied
-            self._out.add(Watch(LIVE, after, 0.0, heard, for_user=True))
+            self._outbox.add(Watch(LIVE, after, 0.0, heard, for_user=True))
 
     def _copy(self, items: list[Item]) -> None:
         for item in items:
@@ -197,19 +197,19 @@
                 if len(self._over) > KNOWN_ENDED:
                     del self._over[next(iter(self._over))]
 
-    def _reply(self, asked: list[Question], found: bool) -> None:
+    def _reply(self, asked: list[StatusQuery], found: bool) -> None:
         for question in asked:
-            aborted = self._live.get(question.ref)
+            cancelled = self._live.get(question.ref)
             if not found:
                 self._answer(question.request, 503)
-            elif aborted is None:
+            elif cancelled is None:
                 self._look_ended(question.request, question.ref, question.unknown)
             else:
-                self._answer(question.request, 200, self._live_body(question.ref, aborted))
-        self._looking = bool(self._questions)
+                self._answer(question.request, 200, self._live_body(question.ref, cancelled))
+        self._looking = bool(self._queries)
         if self._looking:
             wait_s = max(0.0, self._looked_at + LOOK_S - self._clock())
-            self._out.add(Later(wait_s, self._look_up))
+            self._outbox.add(Delay(wait_s, self._look_up))
 
     def _look_ended(self, request: int, ref: JobRef, unknown: int) -> None:
         def ended(found: Found | None) -> None:
@@ -222,12 +222,12 @@
                 self._answer_ended(request, ref)
 
         # Questions about jobs that nobody submitted must not use up what those about jobs need.
-        self._out.add(Read(ended_key(ref), ended, for_user=ref not in self._over))
+        self._outbox.add(Read(ended_key(ref), ended, for_user=ref not in self._over))
 
-    def _live_body(self, ref: JobRef, aborted: bool) -> Record:
+    def _live_body(self, ref: JobRef, cancelled: bool) -> Record:
         done, running = self.progress.get(ref, (0, 0))
         active = "running" if running else "queued"
-        status = "aborted" if aborted else active
+        status = "aborted" if cancelled else active
         return {"ref": ref, "status": status, "done": done, "running": running}
 
     def _remember(self, ref: JobRef, record: Record) -> None:
@@ -239,18 +239,18 @@
 
     def _answer_ended(self, request: int, ref: JobRef) -> None:
         record = self._ended[ref]
-        aborted = record["aborted"]
+        cancelled = record["aborted"]
         body = {
             "ref": ref,
-            "status": "aborted" if aborted else "done",
-            "done": 0 if aborted else record["tasks"],
+            "status": "aborted" if cancelled else "done",
+            "done": 0 if cancelled else record["tasks"],
             "running": 0,
         }
         self._answer(request, 200, body)
 
     # POST /work/{id}/abort
 
-    def abort(self, request: int, ref: JobRef, tries: int = 0) -> None:
+    def cancel(self, request: int, ref: JobRef, tries: int = 0) -> None:
         """Cancellation against completion is decided by who changes the live record first."""
 
         def live(found: Found | None) -> None:
@@ -262,25 +262,25 @@
             elif found.item.value["aborted"]:
                 self._answer(request, 200, {"ref": ref, "status": "aborted"})
             else:
-                self._cancel(request, ref, found.item, tries)
+                self._commit_cancellation(request, ref, found.item, tries)
 
         if ref in self._ended:
             self._answer_ended(request, ref)
         else:
-            self._out.add(Read(live_key(ref), live, for_user=True))
+            self._outbox.add(Read(live_key(ref), live, for_user=True))
 
-    def _cancel(self, request: int, ref: JobRef, item: Item, tries: int) -> None:
-        record = live_record(spec_of(item.value), WallTime(item.value["at"]), aborted=True)
+    def _commit_cancellation(self, request: int, ref: JobRef, item: Item, tries: int) -> None:
+        record = live_record(spec_of(item.value), WallTime(item.value["at"]), cancelled=True)
 
         def decided(result: Committed | Conflict | NoSuchLease | None) -> None:
             if isinstance(result, Committed):
                 self._answer(request, 200, {"ref": ref, "status": "aborted"})
             elif isinstance(result, Conflict) and tries < CANCEL_TRIES:
-                self.abort(request, ref, tries + 1)
+                self.cancel(request, ref, tries + 1)
             else:
                 self._answer(request, 503)
 
-        self._out.add(
+        self._outbox.add(
             Commit(
                 ((live_key(ref), item.version),),
                 (Put(live_key(ref), record),),
@@ -292,4 +292,4 @@
 
     def _answer(self, request: int, status: int, body: Record = None) -> None:
         retry = RETRY_S if status == 503 else None
-        self._out.add(Answer(request, status, body, retry))
+        self._outbox.add(Response(request, status, body, retry))
--- a/src/crosscleat/core/control/writer.py
+++ b/src/crosscleat/core/control/writer.py
@@ -14,11 +14,11 @@
 from ..model.ids import JobRef, Seconds, Token, Version
 from ..model.store_calls import Commit, Committed, Conflict, Found, Item, NoSuchLease, Read
 from ..state.batch import Batch
-from ..state.cluster import Ledger
-from ..state.decommission_records import DropRecords
+from ..state.cluster import ClusterState
+from ..state.decommission_records import DecommissionRecords
 from ..state.jobs import Job
 from ..state.keys import live_key
-from ..state.placement_records import WorkRecord, WorkRecords
+from ..state.placement_records import PlacementRecord, PlacementRecords
 
 LAZY_S = 0.8
 """How often what only spares a successor some work is written."""
@@ -29,7 +29,7 @@
 ENDS_WRITES = 6
 """Writes that say which jobs have ended, at a time."""
 
-MOST_DROPS = 100
+MAX_DECOMMISSIONS = 100
 """Machines whose deletion one transaction records."""
 
 ROTATE_S = 3.0
@@ -45,9 +45,9 @@
         self,
         term: LeadingTerm,
         jobs: dict[JobRef, Job],
-        ledger: Ledger,
-        work: WorkRecords,
-        drops: DropRecords,
+        cluster: ClusterState,
+        placement_records: PlacementRecords,
+        decommission_records: DecommissionRecords,
         recorded: Callable[[Job, list[int]], None],
         void: Callable[[Job], None],
         reread: Callable[[Item], None],
@@ -58,9 +58,9 @@
         is on record."""
         self._term = term
         self._jobs = jobs
-        self._ledger = ledger
-        self._work = work
-        self._drops = drops
+        self._cluster = cluster
+        self._placement_records = placement_records
+        self._decommission_records = decommission_records
         self._recorded = recorded
         self._void = void
         self._reread_item = reread
@@ -112,36 +112,39 @@
         """The region's few writes a second go to starts first, then to deletions and to ends,
         which users poll for."""
         batch = Batch(token, self._term.deployment.txn_ops)
-        for record in self._work.urgent(now):
+        for record in self._placement_records.urgent(now):
             batch.record(record)
-        self._add_drops(batch)
+        self._add_decommissions(batch)
         batch.limit(ENDS_WRITES)
         for job in self._ending.values():
-            if not job.settling and batch.room(2, 1):
+            if not job.needs_reread and batch.room(2, 1):
                 batch.end(job)
         return batch
 
     def _add_lazy(self, batch: Batch) -> None:
         """What only spares a successor some work, a little at a time."""
         batch.limit(LAZY_WRITES)
-        for record in self._work.lazy():
+        for record in self._placement_records.lazy():
             self._add_lazily(batch, record)
         while self._obsolete and batch.room(1, 1):
             batch.remove(*self._obsolete.popleft())
 
-    def _add_drops(self, batch: Batch) -> None:
-        machines = self._ledger.machines.values()
-        found = [m for m in machines if m.dropping and not m.drop_recorded]
+    def _add_decommissions(self, batch: Batch) -> None:
+        machines = self._cluster.machines.values()
+        found = [m for m in machines if m.decommissioning and not m.decommission_recorded]
         if found and batch.room(1, 1):
-            batch.drop_record, room = self._drops.open()
-            batch.drops = found[: min(room, MOST_DROPS)]
-            batch.put(batch.drop_record.put(m.id for m in batch.drops), batch.drop_record.version)
+            batch.decommission_record, room = self._decommission_records.open()
+            batch.decommissioned = found[: min(room, MAX_DECOMMISSIONS)]
+            batch.put(
+                batch.decommission_record.put(m.id for m in batch.decommissioned),
+                batch.decommission_record.version,
+            )
 
-    def _add_lazily(self, batch: Batch, record: WorkRecord) -> None:
+    def _add_lazily(self, batch: Batch, record: PlacementRecord) -> None:
         if record.members:
             batch.record(record)
         elif not record.version:
-            self._work.removed(record)
+            self._placement_records.removed(record)
         elif batch.room(1, 1):
             record.closing = True
             batch.closing.append(record)
@@ -149,7 +152,7 @@
 
     def _write(self, batch: Batch) -> None:
         self.writing = True
-        self._term.out.add(
+        self._term.outbox.add(
             Commit(
                 tuple(batch.conditions.items()),
                 tuple(batch.writes),
@@ -178,25 +181,25 @@
         return not conflict.repeated and bool(conflict.failed) and conflict.failed <= lives
 
     def _committed(self, batch: Batch, revision: Version) -> None:
-        for machine in batch.drops:
-            machine.drop_recorded = True
-        if batch.drop_record is not None:
-            batch.drop_record.version = revision
-            batch.drop_record.names.update((m.id, None) for m in batch.drops)
+        for machine in batch.decommissioned:
+            machine.decommission_recorded = True
+        if batch.decommission_record is not None:
+            batch.decommission_record.version = revision
+            batch.decommission_record.names.update((m.id, None) for m in batch.decommissioned)
         for record in batch.records:
             record.version = revision
         for record in batch.closing:
-            self._work.removed(record)
+            self._placement_records.removed(record)
         for job, chunk, recorded in batch.chunks:
             fresh = recorded - chunk.recorded
             chunk.recorded = recorded
             self._recorded(job, [found.number for found in fresh if job.is_current(*found)])
-        self._work.written((job, chunk) for job, chunk, _ in batch.chunks)
+        self._placement_records.written((job, chunk) for job, chunk, _ in batch.chunks)
         for job in batch.ended:
             del self._ending[job.ref]
-            self._work.forget(job)
+            self._placement_records.forget(job)
             self._ended(job)
-        self.remove(self._work.superseded())
+        self.remove(self._placement_records.superseded())
 
     def _put_back(self, batch: Batch, failed: frozenset[str]) -> None:
         """A user cancelled meanwhile: that job's placements were never sent, so they are void."""
@@ -207,7 +210,7 @@
                 continue
             self._void(job)
             if batch.conditions[live_key(job.ref)] == job.version:
-                job.settling = True
+                job.needs_reread = True
                 self._reread(job)
         for record in batch.records:
             urgent = [
@@ -219,10 +222,10 @@
         def read(found: Found | None) -> None:
             if found is not None and found.item is not None:
                 self._reread_item(found.item)
-            elif not self._term.retired and self._jobs.get(job.ref) is job and job.settling:
+            elif not self._term.retired and self._jobs.get(job.ref) is job and job.needs_reread:
                 self._reread(job)
 
-        self._term.out.add(Read(live_key(job.ref), read))
+        self._term.outbox.add(Read(live_key(job.ref), read))
 
     def _rotate(self, now: Seconds) -> bool:
         """Take a higher token, after which no direct message of before is executed."""
@@ -233,8 +236,8 @@
         self._rotated_at = now
 
         def rotated(result: Result) -> None:
-            rotation.then(result)
+            rotation.continuation(result)
             self.writing = False
 
-        self._term.out.add(Commit(rotation.conditions, rotation.writes, rotated))
+        self._term.outbox.add(Commit(rotation.conditions, rotation.writes, rotated))
         return True
--- a/src/crosscleat/core/election/election.py
+++ b/src/crosscleat/core/election/election.py
@@ -16,15 +16,15 @@
     Committed,
     Conflict,
     Found,
-    Grant,
-    News,
+    GrantLease,
     NoSuchLease,
     Put,
     Read,
     Record,
-    Revoke,
-    Touch,
+    RenewLease,
+    RevokeLease,
     Watch,
+    WatchResult,
 )
 from ..state.keys import LEADER
 
@@ -34,7 +34,7 @@
 
 WATCH_S = 4.0
 
-UNSEAT_PAUSE_S = 20.0
+REVOKE_PAUSE_S = 20.0
 
 
 class Election:
@@ -44,7 +44,7 @@
         self,
         member: Member,
         boot: str,
-        out: Outbox,
+        outbox: Outbox,
         rng: Random,
         clock: Callable[[], Seconds],
         later: Callable[[float, Callable[[], None]], None],
@@ -53,7 +53,7 @@
     ) -> None:
         self._member = member
         self._boot = boot
-        self._out = out
+        self._outbox = outbox
         self._rng = rng
         self._clock = clock
         self._later = later
@@ -77,7 +77,7 @@
     def begin(self) -> None:
         """Look at the leader key for the first time."""
         epoch = self._epoch
-        self._out.add(Read(LEADER, lambda found: self._looked(epoch, found)))
+        self._outbox.add(Read(LEADER, lambda found: self._looked(epoch, found)))
 
     def _looked(self, epoch: int, found: Found | None) -> None:
         if epoch != self._epoch:
@@ -100,27 +100,31 @@
         return lambda: self.begin() if epoch == self._epoch else None
 
     def _watch(self, epoch: int, after: Version) -> None:
-        self._out.add(Watch(LEADER, after, WATCH_S, lambda news: self._heard(epoch, after, news)))
+        self._outbox.add(
+            Watch(
+                LEADER, after, WATCH_S, lambda watch_result: self._heard(epoch, after, watch_result)
+            )
+        )
 
-    def _heard(self, epoch: int, after: Version, news: News | None) -> None:
+    def _heard(self, epoch: int, after: Version, watch_result: WatchResult | None) -> None:
         if epoch != self._epoch:
             return
-        if news is None or news.lost:
+        if watch_result is None or watch_result.lost:
             self._later(0.2 + 0.3 * self._rng.random(), self._again(epoch))
             return
-        mine = [change for change in news.changes if change.key == LEADER]
+        mine = [change for change in watch_result.changes if change.key == LEADER]
         if not mine:
-            self._watch(epoch, max(after, news.revision))
+            self._watch(epoch, max(after, watch_result.revision))
         elif mine[-1].version == 0:
             self.leader = None
             # Not all at the same instant: the store counts failed transactions too.
             self._later(0.05 * self._rng.random(), self._again(epoch))
         else:
             self._follow(mine[-1].value)
-            self._watch(epoch, news.revision)
+            self._watch(epoch, watch_result.revision)
 
     def _stand(self, epoch: int, version: Version = ABSENT) -> None:
-        self._out.add(Grant(LIFE_S, lambda lease: self._granted(epoch, version, lease)))
+        self._outbox.add(GrantLease(LIFE_S, lambda lease: self._granted(epoch, version, lease)))
 
     def _granted(self, epoch: int, version: Version, lease: LeaseId | None) -> None:
         if epoch != self._epoch:
@@ -130,7 +134,7 @@
             return
         self._lease = lease
         sent = self._clock()
-        self._out.add(
+        self._outbox.add(
             Commit(
                 ((LEADER, version),),
                 (Put(LEADER, self._record(lease), lease),),
@@ -145,7 +149,7 @@
         self.leader = Member(record["member"])
         self._leader_lease = LeaseId(record["lease"])
 
-    def unseat(self, member: Member) -> None:
+    def revoke_leader_lease(self, member: Member) -> None:
         """The leader's process seems to be gone: end its lease now, not when it runs out.
 
         A refused connection proves nothing, and need not: a leader that is alive finds its
@@ -155,10 +159,10 @@
         now = self._clock()
         if self.leading or self.leader != member or self._leader_lease is None:
             return
-        if self._forced_at is None or now - self._forced_at > UNSEAT_PAUSE_S:
+        if self._forced_at is None or now - self._forced_at > REVOKE_PAUSE_S:
             self._forced_at = now
-            self._out.note("info", f"leader {member} seems to be gone: ending its lease")
-            self._out.add(Revoke(self._leader_lease))
+            self._outbox.log("info", f"leader {member} seems to be gone: ending its lease")
+            self._outbox.add(RevokeLease(self._leader_lease))
             self._leader_lease = None
 
     def _decided(
@@ -172,7 +176,7 @@
             return
         if not isinstance(result, Committed):
             # Perhaps it was carried out, or will be: without its lease the key goes away.
-            self._out.add(Revoke(lease))
+            self._outbox.add(RevokeLease(lease))
             self._lease = None
             self._later(0.1 + 0.2 * self._rng.random(), self._again(epoch))
             return
@@ -186,7 +190,7 @@
         if epoch != self._epoch or self._lease is None:
             return
         sent = self._clock()
-        self._out.add(Touch(self._lease, lambda alive: self._renewed(epoch, sent, alive)))
+        self._outbox.add(RenewLease(self._lease, lambda alive: self._renewed(epoch, sent, alive)))
 
     def _renewed(self, epoch: int, sent: Seconds, alive: bool | None) -> None:
         if epoch != self._epoch:
@@ -217,19 +221,19 @@
         else:
             self.resign("the token could not be rotated")
 
-    def resign(self, why: str, rest_s: float = 0.3) -> None:
+    def resign(self, reason: str, rest_s: float = 0.3) -> None:
         """Stop leading; what we sent stays accounted for by the next leader's higher token.
 
         `rest_s` is how long we leave the key to others before we look at it again.
         """
         self._epoch += 1
         if self._lease is not None:
-            self._out.add(Revoke(self._lease))
+            self._outbox.add(RevokeLease(self._lease))
             self._lease = None
         was = self.token
         self.token = None
         self.leader = None
         epoch = self._epoch
         if was is not None:
-            self._lost(why)
+            self._lost(reason)
         self._later(rest_s + 0.5 * self._rng.random(), self._again(epoch))
--- a/src/crosscleat/core/election/term.py
+++ b/src/crosscleat/core/election/term.py
@@ -21,11 +21,11 @@
     """What all parts of a leader share of its term."""
 
     def __init__(
-        self, deployment: Deployment, election: Election, out: Outbox, now: Seconds
+        self, deployment: Deployment, election: Election, outbox: Outbox, now: Seconds
     ) -> None:
         self.deployment = deployment
         self.election = election
-        self.out = out
+        self.outbox = outbox
         self.now = now
         self.began = now
         self.began_token = election.token or 0
--- a/src/crosscleat/core/election/upgrade.py
+++ b/src/crosscleat/core/election/upgrade.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Callable, Iterable
 
-from ..model.effects import Later, Outbox
+from ..model.effects import Delay, Outbox
 from ..model.ids import ABSENT, Member
 from ..model.store_calls import Commit, Committed, Conflict, Item, Listing, NoSuchLease, Put, Scan
 from ..state.keys import FORMAT
@@ -27,12 +27,12 @@
         self,
         member: Member,
         members: tuple[Member, ...],
-        out: Outbox,
+        outbox: Outbox,
         completed: Callable[[], None],
     ) -> None:
         self._key = FORMAT + member
         self._members = members
-        self._out = out
+        self._outbox = outbox
         self._completed = completed
         self.complete = False
 
@@ -44,19 +44,19 @@
             if isinstance(result, (Committed, Conflict)):
                 self._look()
             else:
-                self._out.add(Later(AGAIN_S, self.begin))
+                self._outbox.add(Delay(AGAIN_S, self.begin))
 
         write = Put(self._key, {"version": VERSION})
-        self._out.add(Commit(((self._key, ABSENT),), (write,), put))
+        self._outbox.add(Commit(((self._key, ABSENT),), (write,), put))
 
     def _look(self) -> None:
         def looked(listing: Listing | None) -> None:
             if listing is not None:
                 self.learn(listing.items)
             if not self.complete:
-                self._out.add(Later(AGAIN_S, self._look))
+                self._outbox.add(Delay(AGAIN_S, self._look))
 
-        self._out.add(Scan(FORMAT, looked))
+        self._outbox.add(Scan(FORMAT, looked))
 
     def learn(self, items: Iterable[Item]) -> None:
         """Take in the keys as the store has them now."""
--- a/src/crosscleat/core/model/cloud.py
+++ b/src/crosscleat/core/model/cloud.py
@@ -29,7 +29,7 @@
         """Price per hour on the spot market or not."""
         return self.spot_price if spot else self.price
 
-    def holds(self, job: JobSpec) -> bool:
+    def has_capacity_for(self, job: JobSpec) -> bool:
         """Whether one task of the job fits on an empty machine of this type."""
         return (
             job.cpus <= self.cpus
--- a/src/crosscleat/core/model/cloud_calls.py
+++ b/src/crosscleat/core/model/cloud_calls.py
@@ -11,13 +11,13 @@
 class ListTypes(msgspec.Struct, frozen=True):
     """Read the machine types."""
 
-    then: Callable[[Any], None]
+    continuation: Callable[[Any], None]
 
 
 class ListMachines(msgspec.Struct, frozen=True):
     """Read the machine list."""
 
-    then: Callable[[Any], None]
+    continuation: Callable[[Any], None]
 
 
 class Rent(msgspec.Struct, frozen=True):
@@ -28,7 +28,7 @@
     zone: str
     spot: bool
     count: int
-    then: Callable[[list[str] | bool | None], None]
+    continuation: Callable[[list[str] | bool | None], None]
     """Names of the machines; False: refused for lack of capacity; None: unknown."""
 
 
@@ -36,4 +36,4 @@
     """Return machines for good."""
 
     machines: tuple[str, ...]
-    then: Callable[[bool], None]
+    continuation: Callable[[bool], None]
--- a/src/crosscleat/core/model/deployment.py
+++ b/src/crosscleat/core/model/deployment.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Knobs:
+class TuningOptions:
     """What operators may tune; the defaults are the ones measured in docs/design.md."""
 
     weight: float = 0.5
@@ -53,7 +53,7 @@
     """All controllers, ours included, in the same order everywhere."""
     teams: dict[Team, TeamLimits]
     objectives: tuple[Objective, ...]
-    report_s: float
+    heartbeat_interval_s: float
     lease_s: float
     cancel_s: float
     gang_wait_s: float
@@ -61,7 +61,7 @@
     value_kb: float
     txn_ops: int
     """What the state service allows, now and later (`state.next`)."""
-    knobs: Knobs = field(default_factory=Knobs)
+    tuning: TuningOptions = field(default_factory=TuningOptions)
 
     def class_limits(self, kind: str, job_class: str) -> tuple[float, ...]:
         """The times that the aims of this kind give a class."""
--- a/src/crosscleat/core/model/effects.py
+++ b/src/crosscleat/core/model/effects.py
@@ -14,17 +14,17 @@
 from .cloud_calls import DeleteMachines, ListMachines, ListTypes, Rent
 from .store_calls import (
     Commit,
-    Grant,
+    GrantLease,
     Read,
-    Revoke,
+    RenewLease,
+    RevokeLease,
     Scan,
-    Touch,
     Watch,
 )
-from .worker_calls import Direct, Orders, Probe
+from .worker_calls import DirectCommand, HeartbeatResponse, IndirectProbe
 
 
-class Answer(msgspec.Struct, frozen=True):
+class Response(msgspec.Struct, frozen=True):
     """The answer to one request from outside."""
 
     request: int
@@ -33,34 +33,34 @@
     retry_after_s: int | None = None
 
 
-class Later(msgspec.Struct, frozen=True):
+class Delay(msgspec.Struct, frozen=True):
     """Run `then` after a delay."""
 
     delay_s: float
-    then: Callable[[], None]
+    continuation: Callable[[], None]
 
 
-class Tell(msgspec.Struct, frozen=True):
+class BroadcastProgress(msgspec.Struct, frozen=True):
     """A message for every other controller that listens."""
 
     message: Any
 
 
-class Part(msgspec.Struct, frozen=True):
+class ShardRequest(msgspec.Struct, frozen=True):
     """The owner's part of a round, for it to plan."""
 
     member: str
     view: Any
 
 
-class Propose(msgspec.Struct, frozen=True):
+class ProposeShard(msgspec.Struct, frozen=True):
     """Our choices for the part that a leader gave us."""
 
     member: str
     proposal: Any
 
 
-class Note(msgspec.Struct, frozen=True):
+class LogRecord(msgspec.Struct, frozen=True):
     """A line for the log."""
 
     level: str
@@ -72,22 +72,22 @@
     | Read
     | Scan
     | Watch
-    | Grant
-    | Touch
-    | Revoke
+    | GrantLease
+    | RenewLease
+    | RevokeLease
     | ListTypes
     | ListMachines
     | Rent
     | DeleteMachines
-    | Direct
-    | Probe
-    | Answer
-    | Orders
-    | Later
-    | Tell
-    | Part
-    | Propose
-    | Note
+    | DirectCommand
+    | IndirectProbe
+    | Response
+    | HeartbeatResponse
+    | Delay
+    | BroadcastProgress
+    | ShardRequest
+    | ProposeShard
+    | LogRecord
 )
 
 
@@ -103,9 +103,9 @@
         """Do this outside, after the step."""
         self.effects.append(effect)
 
-    def note(self, level: str, text: str) -> None:
+    def log(self, level: str, text: str) -> None:
         """Log a line."""
-        self.effects.append(Note(level, text))
+        self.effects.append(LogRecord(level, text))
 
     def take(self) -> list[Effect]:
         """The effects so far, which are then no longer here."""
--- a/src/crosscleat/core/model/ids.py
+++ b/src/crosscleat/core/model/ids.py
@@ -27,7 +27,7 @@
 
 Attempt = NewType("Attempt", int)
 
-Session = NewType("Session", int)
+AgentEpoch = NewType("AgentEpoch", int)
 
 LeaseId = NewType("LeaseId", int)
 
@@ -57,14 +57,14 @@
         return cls(JobRef(job), int(number))
 
 
-class Seen(NamedTuple):
+class HeartbeatId(NamedTuple):
     """Age of a worker's message: the larger one is newer."""
 
-    session: Session
-    tally: int
+    agent_epoch: AgentEpoch
+    sequence: int
 
 
-NEVER = Seen(Session(0), 0)
+NO_HEARTBEAT = HeartbeatId(AgentEpoch(0), 0)
 
 LONG_AGO = Seconds(0.0)
 
--- a/src/crosscleat/core/model/inputs.py
+++ b/src/crosscleat/core/model/inputs.py
@@ -7,35 +7,35 @@
 
 import msgspec
 
-from .heartbeats import Report
+from .heartbeats import Heartbeat
 from .ids import JobRef, Member
 from .job_spec import JobSpec
-from .shards import Proposal, View
+from .shards import ShardProposal, ShardView
 
 
 class Tick(msgspec.Struct, frozen=True):
     """A tenth of a second has passed."""
 
 
-class Began(msgspec.Struct, frozen=True):
+class Started(msgspec.Struct, frozen=True):
     """The process is up."""
 
 
-class Completed(msgspec.Struct, frozen=True):
+class CallCompleted(msgspec.Struct, frozen=True):
     """A call's result, or the end of a delay: run its continuation."""
 
-    then: Callable[..., None]
+    continuation: Callable[..., None]
     results: tuple[Any, ...] = ()
 
 
-class Submit(msgspec.Struct, frozen=True):
+class SubmitJob(msgspec.Struct, frozen=True):
     """A user submits a job."""
 
     request: int
     spec: JobSpec
 
 
-class Refuse(msgspec.Struct, frozen=True):
+class RejectJob(msgspec.Struct, frozen=True):
     """A submission that is malformed, with its job's name if that much is readable."""
 
     request: int
@@ -43,55 +43,55 @@
     status: int
 
 
-class Poll(msgspec.Struct, frozen=True):
+class QueryJob(msgspec.Struct, frozen=True):
     """A user asks about a job."""
 
     request: int
     ref: JobRef
 
 
-class Abort(msgspec.Struct, frozen=True):
+class CancelJob(msgspec.Struct, frozen=True):
     """A user cancels a job."""
 
     request: int
     ref: JobRef
 
 
-class CheckIn(msgspec.Struct, frozen=True):
+class HeartbeatReceived(msgspec.Struct, frozen=True):
     """A worker's report, received here or relayed by another controller."""
 
     request: int
-    report: Report
+    heartbeat: Heartbeat
     relayed: bool = False
 
 
-class Probed(msgspec.Struct, frozen=True):
+class ProbeReply(msgspec.Struct, frozen=True):
     """A worker's report that another controller brought at our request."""
 
-    report: Report
+    heartbeat: Heartbeat
 
 
-class Progress(msgspec.Struct, frozen=True):
+class ProgressReceived(msgspec.Struct, frozen=True):
     """The leader's counts of done and running tasks, for display."""
 
     counts: dict[str, tuple[int, int]]
 
 
-class PartGiven(msgspec.Struct, frozen=True):
+class ShardRequested(msgspec.Struct, frozen=True):
     """A leader asks us to plan our part of a round."""
 
     member: Member
-    view: View
+    view: ShardView
 
 
-class Proposed(msgspec.Struct, frozen=True):
+class ShardProposed(msgspec.Struct, frozen=True):
     """An owner's choices for its part."""
 
     member: Member
-    proposal: Proposal
+    proposal: ShardProposal
 
 
-class PeerGone(msgspec.Struct, frozen=True):
+class PeerUnreachable(msgspec.Struct, frozen=True):
     """A peer's link closed and its address refuses connections: its process may have ended."""
 
     member: Member
@@ -99,16 +99,16 @@
 
 Input = (
     Tick
-    | Began
-    | Completed
-    | Submit
-    | Refuse
-    | Poll
-    | Abort
-    | CheckIn
-    | Probed
-    | Progress
-    | PartGiven
-    | Proposed
-    | PeerGone
+    | Started
+    | CallCompleted
+    | SubmitJob
+    | RejectJob
+    | QueryJob
+    | CancelJob
+    | HeartbeatReceived
+    | ProbeReply
+    | ProgressReceived
+    | ShardRequested
+    | ShardProposed
+    | PeerUnreachable
 )
--- a/src/crosscleat/core/model/shards.py
+++ b/src/crosscleat/core/model/shards.py
@@ -19,7 +19,7 @@
     at_risk: bool
 
 
-class RoomView(msgspec.Struct, array_like=True, frozen=True):
+class MachineView(msgspec.Struct, array_like=True, frozen=True):
     """What an owner needs to know of a machine with room."""
 
     machine: MachineId
@@ -35,12 +35,12 @@
     """Whose large tasks it is emptied for: the job, its priority and its age."""
 
 
-class View(msgspec.Struct, array_like=True, frozen=True):
+class ShardView(msgspec.Struct, array_like=True, frozen=True):
     """What an owner needs to plan its part."""
 
     number: int
     jobs: tuple[JobView, ...]
-    rooms: tuple[RoomView, ...]
+    rooms: tuple[MachineView, ...]
     shares: dict[Team, tuple[float, float]]
     """CPUs and GPUs that the part may use of each team's limit; a team left out has none."""
     reserve: float
@@ -48,8 +48,8 @@
     """By how much estimates are off, by class."""
 
 
-class Proposal(msgspec.Struct, array_like=True, frozen=True):
+class ShardProposal(msgspec.Struct, array_like=True, frozen=True):
     """An owner's choices for the part that it was given under this number."""
 
     number: int
-    choices: tuple[tuple[JobRef, MachineId], ...]
+    assignments: tuple[tuple[JobRef, MachineId], ...]
--- a/src/crosscleat/core/model/store_calls.py
+++ b/src/crosscleat/core/model/store_calls.py
@@ -67,7 +67,7 @@
     revision: Version
 
 
-class News(msgspec.Struct, frozen=True):
+class WatchResult(msgspec.Struct, frozen=True):
     """Changes after a revision; a version of 0 marks a removed key. `lost`: reread everything."""
 
     revision: Version
@@ -80,7 +80,7 @@
 
     conditions: tuple[tuple[str, Version], ...]
     writes: tuple[Put | Remove, ...]
-    then: Callable[[Committed | Conflict | NoSuchLease | None], None]
+    continuation: Callable[[Committed | Conflict | NoSuchLease | None], None]
     patience_s: float = 2.0
     for_user: bool = False
     """A user waits: may share a transaction with others, and fails at once without a store."""
@@ -90,7 +90,7 @@
     """Read one key."""
 
     key: str
-    then: Callable[[Found | None], None]
+    continuation: Callable[[Found | None], None]
     patience_s: float = 1.5
     for_user: bool = False
 
@@ -99,7 +99,7 @@
     """Read all keys with the prefix."""
 
     prefix: str
-    then: Callable[[Listing | None], None]
+    continuation: Callable[[Listing | None], None]
     for_user: bool = False
 
 
@@ -109,26 +109,26 @@
     prefix: str
     after: Version
     block_s: float
-    then: Callable[[News | None], None]
+    continuation: Callable[[WatchResult | None], None]
     for_user: bool = False
 
 
-class Grant(msgspec.Struct, frozen=True):
+class GrantLease(msgspec.Struct, frozen=True):
     """Ask for a lease."""
 
     life_s: float
-    then: Callable[[LeaseId | None], None]
+    continuation: Callable[[LeaseId | None], None]
 
 
-class Touch(msgspec.Struct, frozen=True):
+class RenewLease(msgspec.Struct, frozen=True):
     """Renew a lease."""
 
     lease: LeaseId
-    then: Callable[[bool | None], None]
+    continuation: Callable[[bool | None], None]
     """True: renewed. False: the lease has ended."""
 
 
-class Revoke(msgspec.Struct, frozen=True):
+class RevokeLease(msgspec.Struct, frozen=True):
     """End a lease at once."""
 
     lease: LeaseId
--- a/src/crosscleat/core/model/worker_calls.py
+++ b/src/crosscleat/core/model/worker_calls.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from .ids import Session, Token
+from .ids import AgentEpoch, Token
 
 
 class StartOrder(msgspec.Struct, frozen=True):
@@ -35,26 +35,26 @@
 Order = StartOrder | StopOrder | ClearOrder
 
 
-class Direct(msgspec.Struct, frozen=True):
+class DirectCommand(msgspec.Struct, frozen=True):
     """Orders sent straight to a worker."""
 
     address: str
     token: Token
-    session: Session
+    agent_epoch: AgentEpoch
     orders: tuple[Order, ...]
-    then: Callable[[Any, bool], None]
+    continuation: Callable[[Any, bool], None]
     """The worker's report, or None; and whether the orders may still reach the worker."""
 
 
-class Probe(msgspec.Struct, frozen=True):
+class IndirectProbe(msgspec.Struct, frozen=True):
     """Asks the other controllers to bring the report of a worker that we do not hear."""
 
     address: str
     token: Token
-    session: Session
+    agent_epoch: AgentEpoch
 
 
-class Orders(msgspec.Struct, frozen=True):
+class HeartbeatResponse(msgspec.Struct, frozen=True):
     """The answer to one worker's check-in."""
 
     request: int
--- a/src/crosscleat/core/scheduling/cycle.py
+++ b/src/crosscleat/core/scheduling/cycle.py
@@ -14,42 +14,42 @@
 
 from ..model.deployment import TeamLimits
 from ..model.ids import JobRef, MachineId, Seconds, Team, TypeName
-from ..state.cluster import Ledger
+from ..state.cluster import ClusterState
 from ..state.jobs import Job
 from ..state.machine import Machine
 from .feasibility import Feasibility
-from .free_capacity import Choice, Reservation, Room, fetch_time, troubled
+from .free_capacity import Assignment, FreeCapacity, Reservation, fetch_time, troubled
 from .gang_placement import GangPlacer
 from .reservations import reserve_machines, reserve_ordinary
 from .scoring import Scorer
 
-MOST_JOBS = 120
+MAX_JOBS = 120
 """Jobs that one round looks at if there are more than twice as many: half of them the best by
 utility, half a sample of the others."""
 
-MOST_PAIRS = 12_000
+MAX_PAIRS = 12_000
 """Pairs of a job and a machine that one round looks at; beyond it machines are sampled, as the
 users want under overload."""
 
-LEAST_SAMPLE = 24
+MIN_SAMPLE = 24
 """Machines that each job looks at, however many jobs there are: also one of a sample of jobs."""
 
-MOST_CHOICES = 48
+MAX_ASSIGNMENTS = 48
 """Choices of one round; the next one goes on."""
 
 BEGIN_S = 100.0
 """A job that has waited so long begins next, whatever else there is to do."""
 
-Candidate = tuple[float, float, int, Job, Room]
+HeapEntry = tuple[float, float, int, Job, FreeCapacity]
 """A job's best pair in the heap: negated score, negated age, order of entry, job, room."""
 
 
-class Round:
+class SchedulingCycle:
     """One planning round over the machines and jobs it is given."""
 
     def __init__(
         self,
-        ledger: Ledger,
+        cluster: ClusterState,
         scorer: Scorer,
         teams: dict[Team, TeamLimits],
         rng: Random,
@@ -66,14 +66,14 @@
         self._now = now
         self._threshold = drop_threshold
         self._ordinary_reserve = ordinary_reserve
-        self._feasible = Feasibility(ledger, teams, now, urgent_reserve, backfill_reserve)
+        self._feasible = Feasibility(cluster, teams, now, urgent_reserve, backfill_reserve)
         self._gangs = GangPlacer(self._feasible, scorer, now)
-        self._open: list[Room] = []
+        self._open: list[FreeCapacity] = []
         """Those that could have at least the smallest task."""
-        self._ranked: dict[JobRef, deque[tuple[float, Room]]] = {}
+        self._ranked: dict[JobRef, deque[tuple[float, FreeCapacity]]] = {}
         """The machines that each job may go to, best first, as far as they are not used up."""
         self._sample = 0
-        self._heap: list[Candidate] = []
+        self._heap: list[HeapEntry] = []
         self._entries = 0
 
     def plan(
@@ -82,7 +82,7 @@
         machines: Iterable[Machine],
         most: int,
         reservations: dict[MachineId, Reservation] | None = None,
-    ) -> list[Choice]:
+    ) -> list[Assignment]:
         """At most `most` choices, best pair first.
 
         `reservations` is given where `jobs` is only a part of what waits.
@@ -91,15 +91,15 @@
         if not waiting:
             return []
         self._feasible.add_machines(machines)
-        reserve_ordinary(self._feasible.rooms, self._ordinary_reserve)
-        self._open_rooms(waiting)
+        reserve_ordinary(self._feasible.candidates, self._ordinary_reserve)
+        self._open_candidates(waiting)
         if not self._open:
             return []
         if reservations is None:
             self._reserve(waiting)
         else:
-            for room in self._feasible.rooms:
-                room.reservation = reservations.get(room.machine.id)
+            for candidate in self._feasible.candidates:
+                candidate.reservation = reservations.get(candidate.machine.id)
         waiting = self._sample_jobs(waiting)
         self._scorer.max_cost = self._max_cost(waiting)
         set_aside = []
@@ -108,13 +108,13 @@
                 set_aside.append(job)
             else:
                 self._offer(job)
-        choices: list[Choice] = []
-        self._commit(choices, most)
+        assignments: list[Assignment] = []
+        self._commit(assignments, most)
         # DESIGN: set-aside tasks may still take idle room, once all others have chosen.
         for job in set_aside:
             self._offer(job)
-        self._commit(choices, most)
-        return choices
+        self._commit(assignments, most)
+        return assignments
 
     def reservations(
         self, jobs: Iterable[Job], machines: Iterable[Machine]
@@ -123,29 +123,37 @@
         self._feasible.add_machines(machines)
         self._reserve([job for job in jobs if job.peek() is not None])
         return {
-            room.machine.id: room.reservation
-            for room in self._feasible.rooms
-            if room.reservation is not None
+            candidate.machine.id: candidate.reservation
+            for candidate in self._feasible.candidates
+            if candidate.reservation is not None
         }
 
-    def complete_gang(self, job: Job, machines: Iterable[Machine], left_s: float) -> list[Choice]:
+    def complete_gang(
+        self, job: Job, machines: Iterable[Machine], left_s: float
+    ) -> list[Assignment]:
         """Places for the tasks that a waiting gang lacks, which can start within `left_s`."""
         self._feasible.add_machines(machines)
-        self._open_rooms([job])
+        self._open_candidates([job])
         self._sample = len(self._open)
         self._scorer.max_cost = self._max_cost([job])
-        rooms = self._gangs.complete(job, [room for _, room in self._rank(job)], left_s)
-        return [Choice(job.ref, room.machine.id) for room in rooms]
+        candidates = self._gangs.complete(
+            job, [candidate for _, candidate in self._rank(job)], left_s
+        )
+        return [Assignment(job.ref, candidate.machine.id) for candidate in candidates]
 
     def left_to_ordinary_work(self, machines: Iterable[Machine]) -> set[MachineId]:
         """Machines whose room is left to work that may not use spot machines."""
         self._feasible.add_machines(machines)
-        reserve_ordinary(self._feasible.rooms, self._ordinary_reserve)
-        return {room.machine.id for room in self._feasible.rooms if room.ordinary_only}
+        reserve_ordinary(self._feasible.candidates, self._ordinary_reserve)
+        return {
+            candidate.machine.id
+            for candidate in self._feasible.candidates
+            if candidate.ordinary_only
+        }
 
     def _reserve(self, waiting: list[Job]) -> None:
         reserve_machines(
-            self._feasible.rooms, waiting, self._scorer, self._now, self._feasible.team_admits
+            self._feasible.candidates, waiting, self._scorer, self._now, self._feasible.team_admits
         )
 
     def _sample_jobs(self, waiting: list[Job]) -> list[Job]:
@@ -153,37 +161,41 @@
 
         The sample lets those through that no better one leaves behind, though it finds no room.
         """
-        self._sample = max(LEAST_SAMPLE, MOST_PAIRS // len(waiting))
-        if len(waiting) <= 2 * MOST_JOBS:
+        self._sample = max(MIN_SAMPLE, MAX_PAIRS // len(waiting))
+        if len(waiting) <= 2 * MAX_JOBS:
             return waiting
-        self._sample = LEAST_SAMPLE
+        self._sample = MIN_SAMPLE
         waiting = [job for job in waiting if self._feasible.team_admits(job)]
-        if len(waiting) <= MOST_JOBS:
+        if len(waiting) <= MAX_JOBS:
             return waiting
         waiting.sort(key=lambda job: (self._must_begin(job), self._best_utility(job)), reverse=True)
-        half = MOST_JOBS // 2
-        return waiting[:half] + self._rng.sample(waiting[half:], MOST_JOBS - half)
+        half = MAX_JOBS // 2
+        return waiting[:half] + self._rng.sample(waiting[half:], MAX_JOBS - half)
 
-    def _open_rooms(self, waiting: list[Job]) -> None:
+    def _open_candidates(self, waiting: list[Job]) -> None:
         """Most machines are full, and stay out of the round: neither ranked nor sampled."""
         least = min(job.spec.cpus for job in waiting) - 1e-9
-        self._open = [room for room in self._feasible.rooms if room.cpus >= least]
-        for room in self._open:
-            images = room.machine.images.values()
-            room.fetching_s = max(0.0, max(images, default=self._now) - self._now)
+        self._open = [
+            candidate for candidate in self._feasible.candidates if candidate.cpus >= least
+        ]
+        for candidate in self._open:
+            images = candidate.machine.images.values()
+            candidate.fetching_s = max(0.0, max(images, default=self._now) - self._now)
 
-    def _commit(self, choices: list[Choice], most: int) -> None:
+    def _commit(self, assignments: list[Assignment], most: int) -> None:
         """Stage two: the best pair overall is committed, and again."""
-        while self._heap and len(choices) < most:
-            *_, job, room = heapq.heappop(self._heap)
+        while self._heap and len(assignments) < most:
+            *_, job, candidate = heapq.heappop(self._heap)
             if job.gang:
-                rooms = self._gangs.place(job, [room for _, room in self._rank(job)])
-                choices.extend(Choice(job.ref, room.machine.id) for room in rooms)
+                candidates = self._gangs.place(job, [candidate for _, candidate in self._rank(job)])
+                assignments.extend(
+                    Assignment(job.ref, candidate.machine.id) for candidate in candidates
+                )
                 continue
             # The pair may be stale: its room or its team's quota may have gone to others.
-            if self._feasible.admits(job, room) and self._feasible.team_admits(job):
-                self._feasible.take(job, room)
-                choices.append(Choice(job.ref, room.machine.id))
+            if self._feasible.admits(job, candidate) and self._feasible.team_admits(job):
+                self._feasible.take(job, candidate)
+                assignments.append(Assignment(job.ref, candidate.machine.id))
             self._offer(job)
 
     def _offer(self, job: Job) -> None:
@@ -200,22 +212,22 @@
         if found is None:
             return
         self._entries += 1
-        score, room = found
+        score, candidate = found
         age = self._now - job.submitted
         if self._must_begin(job):
             score = -math.inf
-        heapq.heappush(self._heap, (score, -age, self._entries, job, room))
+        heapq.heappush(self._heap, (score, -age, self._entries, job, candidate))
 
     def _must_begin(self, job: Job) -> bool:
         """Its first task goes before all others: late work is worth little, and among ever new
         work that is worth more it would never begin. And a gang soon: what is freed or comes up for
         it would be taken by others one task at a time, while it must have all at once."""
-        if self._feasible.gang_is_due(job):
+        if self._feasible.gang_goes_first(job):
             return True
         age = self._now - job.submitted
         return age > BEGIN_S and not job.begun and not self._feasible.taken(job)
 
-    def _best(self, job: Job) -> tuple[float, Room] | None:
+    def _best(self, job: Job) -> tuple[float, FreeCapacity] | None:
         """The machine of the highest score for the job's next task; the score is negated.
 
         A job's tasks are alike and what others take only makes rooms smaller, so its machines are
@@ -228,18 +240,18 @@
             ranked.popleft()
         return ranked[0] if ranked else None
 
-    def _rank(self, job: Job) -> deque[tuple[float, Room]]:
+    def _rank(self, job: Job) -> deque[tuple[float, FreeCapacity]]:
         age = Seconds(self._now - job.submitted)
         scores: dict[tuple[TypeName, bool, float], float] = {}
         found = []
-        rooms = self._open
-        if len(rooms) > self._sample and not self._feasible.impatient(job):
-            rooms = self._rng.sample(rooms, self._sample)
-        for number, room in enumerate(rooms):
-            if not self._feasible.admits(job, room):
+        candidates = self._open
+        if len(candidates) > self._sample and not self._feasible.impatient(job):
+            candidates = self._rng.sample(candidates, self._sample)
+        for number, candidate in enumerate(candidates):
+            if not self._feasible.admits(job, candidate):
                 continue
-            machine = room.machine
-            fetch_s = self._feasible.fetch_s(job, room)
+            machine = candidate.machine
+            fetch_s = self._feasible.fetch_s(job, candidate)
             key = (machine.type.name, machine.spot, fetch_s)
             score = scores.get(key)
             if score is None:
@@ -249,9 +261,9 @@
                 # Among near equals the fuller machine: others empty and can be returned, and
                 # large rooms stay whole for large tasks.
                 score = scores[key] = -round(score, 2)
-            found.append((score, job.at_risk and machine.spot, room.cpus, number, room))
+            found.append((score, job.at_risk and machine.spot, candidate.cpus, number, candidate))
         found.sort()
-        return deque((score, room) for score, _, _, _, room in found)
+        return deque((score, candidate) for score, _, _, _, candidate in found)
 
     def _is_set_aside(self, job: Job) -> bool:
         """Whether it may only use what all others leave."""
@@ -265,7 +277,7 @@
         return self._scorer.utility(job.spec, age, age + self._scorer.remaining_s(job))
 
     def _max_cost(self, waiting: list[Job]) -> float:
-        machines = (room.machine for room in self._feasible.rooms)
+        machines = (candidate.machine for candidate in self._feasible.candidates)
         kinds = {(machine.type.name, machine.spot): machine for machine in machines}
         costs = (
             self._scorer.cost(job, m.type, m.spot, fetch_time(job.spec, m.type))
