--- a/src/crosscleat/core/scheduling/feasibility.py
+++ b/src/crosscleat/core/scheduling/feasibility.py
@@ -10,10 +10,10 @@
 from ..model.deployment import TeamLimits
 from ..model.ids import JobRef, MachineId, Seconds, Team, Zone
 from ..model.job_spec import Priority
-from ..state.cluster import Ledger
+from ..state.cluster import ClusterState
 from ..state.jobs import Job
 from ..state.machine import Machine
-from .free_capacity import Reservation, Room, fetch_time, within
+from .free_capacity import FreeCapacity, Reservation, fetch_time, within
 
 RESERVED_FROM_ALL_S = 60.0
 """Work of a higher priority may use a reserved machine until its job has waited so long."""
@@ -37,31 +37,31 @@
 
     def __init__(
         self,
-        ledger: Ledger,
+        cluster: ClusterState,
         teams: dict[Team, TeamLimits],
         now: Seconds,
         urgent_reserve: float,
         backfill_reserve: float = 0.0,
     ) -> None:
-        self._ledger = ledger
+        self._cluster = cluster
         self._teams = teams
         self._now = now
         self._urgent_reserve = urgent_reserve
         self._backfill_reserve = backfill_reserve
-        self._cpus = dict(ledger.team_cpus)
-        self._gpus = dict(ledger.team_gpus)
+        self._cpus = dict(cluster.team_cpus)
+        self._gpus = dict(cluster.team_gpus)
         self._zones: dict[JobRef, dict[str, int]] = {}
         self._fetches: dict[tuple[MachineId, str], float] = {}
         self._taken: dict[JobRef, int] = {}
         self._free_cpus = 0.0
-        self.rooms: list[Room] = []
+        self.candidates: list[FreeCapacity] = []
 
     def add_machines(self, machines: Iterable[Machine]) -> None:
         """The machines on which the round may place."""
         for machine in machines:
-            room = Room.of(machine)
-            self._free_cpus += max(0.0, room.cpus)
-            self.rooms.append(room)
+            candidate = FreeCapacity.of(machine)
+            self._free_cpus += max(0.0, candidate.cpus)
+            self.candidates.append(candidate)
 
     def taken(self, job: Job) -> int:
         """How many tasks of the job this round has placed."""
@@ -72,45 +72,45 @@
         first = job.gang or job.ref not in self._taken
         return first and job.idle_s(self._now) > PATIENCE_S
 
-    def gang_is_due(self, job: Job) -> bool:
+    def gang_goes_first(self, job: Job) -> bool:
         """Whether it is a gang that has waited for so long that it goes before all others."""
         return job.gang and job.idle_s(self._now) > GANG_AFTER_S
 
-    def admits(self, job: Job, room: Room) -> bool:
+    def admits(self, job: Job, candidate: FreeCapacity) -> bool:
         """Whether the job's next task may go there."""
-        if not room.fits(job) or not room.machine.allowed(job.spec):
+        if not candidate.fits(job) or not candidate.machine.allowed(job.spec):
             return False
-        if self._held_back(job, room) and not self.impatient(job):
+        if self._held_back(job, candidate) and not self.impatient(job):
             return False
-        return self._zone_admits(job, room.machine)
+        return self._zone_admits(job, candidate.machine)
 
-    def _held_back(self, job: Job, room: Room) -> bool:
+    def _held_back(self, job: Job, candidate: FreeCapacity) -> bool:
         """Whether the room is left to other work, or the job has failed there."""
-        reservation = room.reservation
+        reservation = candidate.reservation
         if reservation is not None and not self._may_use(job, reservation):
             return True
-        if room.ordinary_only and job.spec.spot and not self._large(job, room):
+        if candidate.ordinary_only and job.spec.spot and not self._large(job, candidate):
             return True
         if not self._leaves_urgent_reserve(job, 1):
             return True
-        return room.machine.id in job.failed_on and not self._failed_everywhere(job)
+        return candidate.machine.id in job.failed_on and not self._failed_everywhere(job)
 
     def _may_use(self, job: Job, reservation: Reservation) -> bool:
         """Whether the job may use a machine that is being emptied for this one."""
         if reservation.job == job.ref:
             return True
-        if self.gang_is_due(job):
+        if self.gang_goes_first(job):
             # Its own turn has come; of two gangs the older has reserved what both would use.
             return not reservation.gang
         waited = self._now - reservation.submitted
         return job.spec.priority > reservation.priority and waited < RESERVED_FROM_ALL_S
 
-    def _large(self, job: Job, room: Room) -> bool:
+    def _large(self, job: Job, candidate: FreeCapacity) -> bool:
         """Whether a task of it needs much of the machine, and so finds few others."""
-        return job.spec.cpus >= LARGE_SHARE * room.machine.type.cpus
+        return job.spec.cpus >= LARGE_SHARE * candidate.machine.type.cpus
 
     def _leaves_urgent_reserve(self, job: Job, count: int) -> bool:
-        if job.spec.priority >= Priority.HIGH or self.gang_is_due(job):
+        if job.spec.priority >= Priority.HIGH or self.gang_goes_first(job):
             return True
         reserve = self._backfill_reserve if job.backfill else self._urgent_reserve
         return self._free_cpus - count * job.spec.cpus >= reserve
@@ -124,19 +124,20 @@
     def zone_left(self, job: Job, zone: Zone) -> int:
         """How many more tasks of the job may be in the zone."""
         spec = job.spec
-        if not self._ledger.zone_allows(spec, zone):
+        if not self._cluster.zone_allows(spec, zone):
             return 0
         if not spec.spread:
             return spec.tasks
         mine = self._zones.get(job.ref, {})
-        return spec.per_zone() - self._ledger.in_zone(spec, zone) - mine.get(zone, 0)
+        return spec.per_zone() - self._cluster.in_zone(spec, zone) - mine.get(zone, 0)
 
     def _failed_everywhere(self, job: Job) -> bool:
         """It failed on every machine that it could be on: then any of them may try again."""
         return all(
-            room.machine.id in job.failed_on
-            for room in self.rooms
-            if room.machine.allowed(job.spec) and room.machine.type.holds(job.spec)
+            candidate.machine.id in job.failed_on
+            for candidate in self.candidates
+            if candidate.machine.allowed(job.spec)
+            and candidate.machine.type.has_capacity_for(job.spec)
         )
 
     def _zone_admits(self, job: Job, machine: Machine) -> bool:
@@ -144,12 +145,12 @@
         if not spec.one_zone and not spec.spread:
             return True
         mine = self._zones.get(job.ref, {})
-        if not self._ledger.zone_allows(spec, machine.zone):
+        if not self._cluster.zone_allows(spec, machine.zone):
             return False
         if spec.one_zone and any(zone != machine.zone for zone in mine):
             return False
         if spec.spread:
-            before = self._ledger.in_zone(spec, machine.zone)
+            before = self._cluster.in_zone(spec, machine.zone)
             return before + mine.get(machine.zone, 0) < spec.per_zone()
         return True
 
@@ -168,29 +169,29 @@
             most -= min(2.0 * self._urgent_reserve, QUOTA_SHARE * most)
         return within(cpus, most) and within(gpus, limits.gpus_max)
 
-    def take(self, job: Job, room: Room) -> None:
+    def take(self, job: Job, candidate: FreeCapacity) -> None:
         """Place one task of the job there."""
         spec = job.spec
-        room.take(job)
+        candidate.take(job)
         self._free_cpus -= spec.cpus
         self._taken[job.ref] = self._taken.get(job.ref, 0) + 1
         self._cpus[spec.team] = self._cpus.get(spec.team, 0.0) + spec.cpus
         self._gpus[spec.team] = self._gpus.get(spec.team, 0.0) + spec.gpus
         if spec.one_zone or spec.spread:
             zones = self._zones.setdefault(job.ref, {})
-            zones[room.machine.zone] = zones.get(room.machine.zone, 0) + 1
-        key = (room.machine.id, spec.image)
+            zones[candidate.machine.zone] = zones.get(candidate.machine.zone, 0) + 1
+        key = (candidate.machine.id, spec.image)
         if key not in self._fetches:
-            self._fetches[key] = self.fetch_s(job, room)
-            room.fetching_s = max(room.fetching_s, self._fetches[key])
+            self._fetches[key] = self.fetch_s(job, candidate)
+            candidate.fetching_s = max(candidate.fetching_s, self._fetches[key])
 
-    def fetch_s(self, job: Job, room: Room) -> float:
+    def fetch_s(self, job: Job, candidate: FreeCapacity) -> float:
         """How long the machine will still need for the job's image, behind its other fetches."""
-        machine = room.machine
+        machine = candidate.machine
         ready = machine.images.get(job.spec.image)
         if ready is not None:
             return max(0.0, ready - self._now)
         fetching = self._fetches.get((machine.id, job.spec.image))
         if fetching is not None:
             return fetching
-        return room.fetching_s + fetch_time(job.spec, machine.type)
+        return candidate.fetching_s + fetch_time(job.spec, machine.type)
--- a/src/crosscleat/core/scheduling/free_capacity.py
+++ b/src/crosscleat/core/scheduling/free_capacity.py
@@ -20,7 +20,7 @@
 """A job that failed on so many machines and succeeded on none is tried one task at a time."""
 
 
-class Choice(msgspec.Struct, frozen=True):
+class Assignment(msgspec.Struct, frozen=True):
     """One task of the job is to be placed on the machine."""
 
     job: JobRef
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class Room:
+class FreeCapacity:
     """What a machine still has in this round."""
 
     machine: Machine
@@ -51,7 +51,7 @@
     """Left to work that may not use spot machines."""
 
     @classmethod
-    def of(cls, machine: Machine) -> Room:
+    def of(cls, machine: Machine) -> FreeCapacity:
         """The room that the placements known so far leave on the machine."""
         kind = machine.type
         return cls(
@@ -89,7 +89,7 @@
 
     machine: Machine
     """Any of them."""
-    rooms: list[Room] = field(default_factory=list)
+    candidates: list[FreeCapacity] = field(default_factory=list)
     reserved: int = 0
 
 
@@ -110,5 +110,7 @@
 
 def fitting(spec: JobSpec, cpus: float, memory_gb: float, gpus: float) -> int:
     """How many of the job's tasks fit in so much room."""
-    parts = ((spec.cpus, cpus), (spec.memory_gb, memory_gb), (spec.gpus, gpus))
-    return int(min((room / need for need, room in parts if need > 0), default=1e6) + ROUNDING)
+    ratios = ((spec.cpus, cpus), (spec.memory_gb, memory_gb), (spec.gpus, gpus))
+    return int(
+        min((available / need for need, available in ratios if need > 0), default=1e6) + ROUNDING
+    )
--- a/src/crosscleat/core/scheduling/gang_placement.py
+++ b/src/crosscleat/core/scheduling/gang_placement.py
@@ -14,7 +14,7 @@
 from ..state.gangs import FETCH_SPREAD, start_delay_s
 from ..state.jobs import Job
 from .feasibility import Feasibility
-from .free_capacity import Room, fitting
+from .free_capacity import FreeCapacity, fitting
 from .scoring import Scorer
 
 
@@ -22,14 +22,14 @@
 class GangPlan:
     """Rooms for all missing tasks of a gang, one entry a task."""
 
-    rooms: list[Room]
+    candidates: list[FreeCapacity]
     score: float
 
     @property
     def rank(self) -> tuple[float, int]:
         """Larger is better. Among near equals the one on fewer machines: the loss of any ends the
         attempt."""
-        return round(self.score, 2), -len({room.machine.id for room in self.rooms})
+        return round(self.score, 2), -len({candidate.machine.id for candidate in self.candidates})
 
 
 class GangPlacer:
@@ -41,93 +41,101 @@
         self._deployment = scorer.deployment
         self._now = now
 
-    def place(self, job: Job, ranked: list[Room]) -> list[Room]:
+    def place(self, job: Job, ranked: list[FreeCapacity]) -> list[FreeCapacity]:
         """The best places for all its tasks, taken from the round; or none."""
         longest_s = self._deployment.gang_wait_s / FETCH_SPREAD
         plans = [
             plan
-            for rooms in self._orders(job, ranked)
-            if (plan := self._plan(job, rooms, longest_s)) is not None
+            for candidates in self._orders(job, ranked)
+            if (plan := self._plan(job, candidates, longest_s)) is not None
         ]
         return self._take(job, plans)
 
-    def complete(self, job: Job, ranked: list[Room], left_s: float) -> list[Room]:
+    def complete(self, job: Job, ranked: list[FreeCapacity], left_s: float) -> list[FreeCapacity]:
         """Places for its missing tasks that can start within `left_s`; or none."""
-        in_time = [room for room in ranked if self._start_s(job, room) * FETCH_SPREAD <= left_s]
+        in_time = [
+            candidate
+            for candidate in ranked
+            if self._start_s(job, candidate) * FETCH_SPREAD <= left_s
+        ]
         plans = [
             plan
-            for rooms in self._orders(job, in_time)
-            if (plan := self._plan(job, rooms, left_s)) is not None
+            for candidates in self._orders(job, in_time)
+            if (plan := self._plan(job, candidates, left_s)) is not None
         ]
         return self._take(job, plans)
 
-    def _take(self, job: Job, plans: list[GangPlan]) -> list[Room]:
+    def _take(self, job: Job, plans: list[GangPlan]) -> list[FreeCapacity]:
         if not plans:
             return []
         best = max(plans, key=lambda plan: plan.rank)
-        for room in best.rooms:
-            self._feasible.take(job, room)
-        return best.rooms
+        for candidate in best.candidates:
+            self._feasible.take(job, candidate)
+        return best.candidates
 
-    def _orders(self, job: Job, ranked: list[Room]) -> Iterator[list[Room]]:
+    def _orders(self, job: Job, ranked: list[FreeCapacity]) -> Iterator[list[FreeCapacity]]:
         """Orders in which rooms may be filled, in each zone where all tasks must be in one."""
-        for rooms in self._zones(job, ranked):
-            yield rooms
-            yield sorted(rooms, key=lambda room: -self._fitting(job, room))
+        for candidates in self._zones(job, ranked):
+            yield candidates
+            yield sorted(candidates, key=lambda candidate: -self._fitting(job, candidate))
 
-    def _zones(self, job: Job, ranked: list[Room]) -> list[list[Room]]:
+    def _zones(self, job: Job, ranked: list[FreeCapacity]) -> list[list[FreeCapacity]]:
         if not job.spec.one_zone:
             return [ranked]
-        by_zone: dict[Zone, list[Room]] = {}
-        for room in ranked:
-            by_zone.setdefault(room.machine.zone, []).append(room)
+        by_zone: dict[Zone, list[FreeCapacity]] = {}
+        for candidate in ranked:
+            by_zone.setdefault(candidate.machine.zone, []).append(candidate)
         return list(by_zone.values())
 
-    def _plan(self, job: Job, rooms: list[Room], longest_s: float) -> GangPlan | None:
+    def _plan(self, job: Job, candidates: list[FreeCapacity], longest_s: float) -> GangPlan | None:
         """Fill the rooms in this order, without those whose task would wait too long."""
         count = job.waiting_count()
         if not self._feasible.admits_all(job, count):
             return None
         while True:
-            filled = self._fill(job, rooms, count)
+            filled = self._fill(job, candidates, count)
             if len(filled) < count:
                 return None
-            starts = [self._start_s(job, room) for room in filled]
+            starts = [self._start_s(job, candidate) for candidate in filled]
             last = max(starts)
             if last - min(starts) <= longest_s:
                 return GangPlan(filled, self._score(job, filled, last))
             # The first to wait would give up before the last can start.
-            rooms = [room for room in rooms if self._start_s(job, room) >= last - longest_s]
-
-    def _fill(self, job: Job, rooms: list[Room], count: int) -> list[Room]:
-        filled: list[Room] = []
+            candidates = [
+                candidate
+                for candidate in candidates
+                if self._start_s(job, candidate) >= last - longest_s
+            ]
+
+    def _fill(self, job: Job, candidates: list[FreeCapacity], count: int) -> list[FreeCapacity]:
+        filled: list[FreeCapacity] = []
         in_zone: Counter[Zone] = Counter()
-        for room in rooms:
-            zone = room.machine.zone
+        for candidate in candidates:
+            zone = candidate.machine.zone
             left = self._feasible.zone_left(job, zone) - in_zone[zone]
-            tasks = min(self._fitting(job, room), left, count - len(filled))
+            tasks = min(self._fitting(job, candidate), left, count - len(filled))
             if tasks > 0:
-                filled.extend([room] * tasks)
+                filled.extend([candidate] * tasks)
                 in_zone[zone] += tasks
             if len(filled) == count:
                 break
         return filled
 
-    def _fitting(self, job: Job, room: Room) -> int:
-        return fitting(job.spec, room.cpus, room.memory, room.gpus)
+    def _fitting(self, job: Job, candidate: FreeCapacity) -> int:
+        return fitting(job.spec, candidate.cpus, candidate.memory, candidate.gpus)
 
-    def _start_s(self, job: Job, room: Room) -> float:
+    def _start_s(self, job: Job, candidate: FreeCapacity) -> float:
         """Until a task placed there now has its image."""
-        delay_s = start_delay_s(room.machine, self._deployment, self._now)
-        return delay_s + self._feasible.fetch_s(job, room)
+        delay_s = start_delay_s(candidate.machine, self._deployment, self._now)
+        return delay_s + self._feasible.fetch_s(job, candidate)
 
-    def _score(self, job: Job, rooms: list[Room], start_s: float) -> float:
+    def _score(self, job: Job, candidates: list[FreeCapacity], start_s: float) -> float:
         """Of the gang as one: utility at its last start, cost of a task in the mean."""
         age = Seconds(self._now - job.submitted)
         scores = (
             self._scorer.score(
-                job, age, room.machine.type, room.machine.spot or job.at_risk, start_s
+                job, age, candidate.machine.type, candidate.machine.spot or job.at_risk, start_s
             )
-            for room in rooms
+            for candidate in candidates
         )
-        return sum(scores) / len(rooms)
+        return sum(scores) / len(candidates)
--- a/src/crosscleat/core/scheduling/preemption.py
+++ b/src/crosscleat/core/scheduling/preemption.py
@@ -17,19 +17,19 @@
 from ..model.deployment import TeamLimits, has_guarantee
 from ..model.ids import JobRef, MachineId, Seconds, Team
 from ..model.job_spec import Priority, Shape
-from ..state.allocations import AttemptKey, Hold
-from ..state.cluster import Ledger
+from ..state.allocations import Allocation, AttemptKey
+from ..state.cluster import ClusterState
 from ..state.jobs import Job
 from ..state.machine import Machine
-from .free_capacity import Room, fitting, troubled
+from .free_capacity import FreeCapacity, fitting, troubled
 
 INTERVAL_S = 0.5
 """How often tasks are chosen to be stopped."""
 
-MOST_STOPPED = 64
+MAX_STOPPED = 64
 """Tasks that are told to stop at a time."""
 
-MOST_MACHINES = 400
+MAX_MACHINES = 400
 """Machines that are looked at for one job; beyond it a sample of them."""
 
 COUNTED_START_S = 30.0
@@ -40,7 +40,7 @@
     """A task that is to be stopped, and its machine."""
 
     machine: Machine
-    hold: Hold
+    allocation: Allocation
 
 
 @dataclass(slots=True, order=True)
@@ -48,8 +48,8 @@
     """What would have to be stopped on a machine for one more task of a job."""
 
     loss: float
-    room: Room = field(compare=False)
-    victims: list[Hold] = field(compare=False)
+    candidate: FreeCapacity = field(compare=False)
+    victims: list[Allocation] = field(compare=False)
 
 
 class Preemption:
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        ledger: Ledger,
+        cluster: ClusterState,
         teams: dict[Team, TeamLimits],
         jobs: dict[JobRef, Job],
         machines: Iterable[Machine],
@@ -65,16 +65,16 @@
         now: Seconds,
     ) -> None:
         """`machines` are those on which tasks may be placed."""
-        self._ledger = ledger
+        self._cluster = cluster
         self._teams = teams
         self._jobs = jobs
         self._usable = {machine.id: machine for machine in machines}
         self._rng = rng
         self._now = now
-        self._rooms: dict[MachineId, Room] = {}
+        self._rooms: dict[MachineId, FreeCapacity] = {}
         """Room that is left once all that was told to stop is gone."""
-        self._running = list(ledger.running())
-        self._cpus = dict(ledger.team_cpus)
+        self._running = list(cluster.running())
+        self._cpus = dict(cluster.team_cpus)
         self._chosen: list[Victim] = []
         self._stopped: set[tuple[MachineId, AttemptKey]] = set()
         """What this pass has chosen."""
@@ -85,7 +85,7 @@
             return []
         found = [job for job in waiting if self._may_preempt(job)]
         for job in sorted(found, key=lambda job: (-job.spec.priority, job.submitted)):
-            if len(self._chosen) >= MOST_STOPPED:
+            if len(self._chosen) >= MAX_STOPPED:
                 break
             self._make_room(job)
         return self._chosen
@@ -114,17 +114,21 @@
 
     def _make_room(self, job: Job) -> None:
         wanted = min(job.waiting_count(), self._within_limit(job))
-        rooms = self._rooms_with_yielding_work(job)
-        wanted -= self._count_freed_room(job, rooms, wanted)
+        candidates = self._rooms_with_yielding_work(job)
+        wanted -= self._count_freed_room(job, candidates, wanted)
         if wanted <= 0:
             return
-        options = [option for room in rooms if (option := self._option(job, room)) is not None]
+        options = [
+            option
+            for candidate in candidates
+            if (option := self._option(job, candidate)) is not None
+        ]
         heapq.heapify(options)
-        while options and wanted > 0 and len(self._chosen) < MOST_STOPPED:
+        while options and wanted > 0 and len(self._chosen) < MAX_STOPPED:
             option = heapq.heappop(options)
             self._stop(option)
-            wanted -= self._count_freed_room(job, [option.room], wanted)
-            another = self._option(job, option.room)
+            wanted -= self._count_freed_room(job, [option.candidate], wanted)
+            another = self._option(job, option.candidate)
             if another is not None:
                 heapq.heappush(options, another)
 
@@ -138,41 +142,41 @@
         left = limits.cpus_max - self._cpus.get(job.spec.team, 0.0)
         return max(0, int(left / job.spec.cpus + 1e-9))
 
-    def _rooms_with_yielding_work(self, job: Job) -> list[Room]:
+    def _rooms_with_yielding_work(self, job: Job) -> list[FreeCapacity]:
         """Machines that the job may use and on which work runs that makes room for it."""
         found: dict[MachineId, None] = {}
         for team, priority, machines in self._running:
             if self._yields(team, priority, job):
                 found.update(dict.fromkeys(machines))
         names = list(found)
-        if len(names) > MOST_MACHINES:
-            names = self._rng.sample(names, MOST_MACHINES)
-        return [room for name in names if (room := self._room(job, name)) is not None]
+        if len(names) > MAX_MACHINES:
+            names = self._rng.sample(names, MAX_MACHINES)
+        return [candidate for name in names if (candidate := self._room(job, name)) is not None]
 
-    def _room(self, job: Job, name: MachineId) -> Room | None:
+    def _room(self, job: Job, name: MachineId) -> FreeCapacity | None:
         machine = self._usable.get(name)
         if machine is None or not machine.allowed(job.spec) or name in job.failed_on:
             return None
-        if not machine.type.holds(job.spec):
+        if not machine.type.has_capacity_for(job.spec):
             return None
-        if not self._ledger.zone_allows(job.spec, machine.zone):
+        if not self._cluster.zone_allows(job.spec, machine.zone):
             return None
-        room = self._rooms.get(name)
-        if room is None:
-            room = self._rooms[name] = Room.of(machine)
-            for hold in machine.holds.values():
-                if hold.withdrawn:
-                    room.give_back(hold.spec)
-        return room
-
-    def _count_freed_room(self, job: Job, rooms: Iterable[Room], wanted: int) -> int:
+        candidate = self._rooms.get(name)
+        if candidate is None:
+            candidate = self._rooms[name] = FreeCapacity.of(machine)
+            for allocation in machine.allocations.values():
+                if allocation.stopping:
+                    candidate.give_back(allocation.spec)
+        return candidate
+
+    def _count_freed_room(self, job: Job, candidates: Iterable[FreeCapacity], wanted: int) -> int:
         """How many of the job's tasks go into room that is free or being freed."""
         counted = 0
-        for room in rooms:
-            count = fitting(job.spec, room.cpus, room.memory, room.gpus)
+        for candidate in candidates:
+            count = fitting(job.spec, candidate.cpus, candidate.memory, candidate.gpus)
             count = max(0, min(count, wanted - counted))
             for _ in range(count):
-                room.take(job)
+                candidate.take(job)
             counted += count
             if counted >= wanted:
                 break
@@ -180,54 +184,54 @@
         self._cpus[team] = self._cpus.get(team, 0.0) + counted * job.spec.cpus
         return counted
 
-    def _option(self, job: Job, room: Room) -> Option | None:
+    def _option(self, job: Job, candidate: FreeCapacity) -> Option | None:
         """The cheapest tasks to stop there so that one task of the job fits."""
-        freed = Room(room.machine, room.cpus, room.gpus, room.memory)
-        victims: list[Hold] = []
+        freed = FreeCapacity(candidate.machine, candidate.cpus, candidate.gpus, candidate.memory)
+        victims: list[Allocation] = []
         loss = 0.0
-        for hold_loss, hold in sorted(
-            self._stoppable(job, room.machine), key=lambda found: found[0]
+        for hold_loss, allocation in sorted(
+            self._stoppable(job, candidate.machine), key=lambda found: found[0]
         ):
             if freed.fits(job):
                 break
-            freed.give_back(hold.spec)
-            victims.append(hold)
+            freed.give_back(allocation.spec)
+            victims.append(allocation)
             loss += hold_loss
-        return Option(loss, room, victims) if victims and freed.fits(job) else None
+        return Option(loss, candidate, victims) if victims and freed.fits(job) else None
 
-    def _stoppable(self, job: Job, machine: Machine) -> Iterator[tuple[float, Hold]]:
-        for hold in machine.holds.values():
+    def _stoppable(self, job: Job, machine: Machine) -> Iterator[tuple[float, Allocation]]:
+        for allocation in machine.allocations.values():
             if (
-                self._yields(hold.spec.team, hold.spec.priority, job)
-                and not hold.withdrawn
-                and not _start_under_way(hold)
-                and (machine.id, hold.key) not in self._stopped
-                and hold.spec.shape is not Shape.GANG
-                and not self._only_counted_start(hold)
+                self._yields(allocation.spec.team, allocation.spec.priority, job)
+                and not allocation.stopping
+                and not _start_under_way(allocation)
+                and (machine.id, allocation.key) not in self._stopped
+                and allocation.spec.shape is not Shape.GANG
+                and not self._only_counted_start(allocation)
             ):
-                yield self._loss(hold), hold
+                yield self._loss(allocation), allocation
 
-    def _only_counted_start(self, hold: Hold) -> bool:
+    def _only_counted_start(self, allocation: Allocation) -> bool:
         """Whether its job would not have begun for its user if this task were stopped now."""
-        ran_s = 0.0 if hold.running_since is None else self._now - hold.running_since
-        job = self._jobs.get(hold.task.job)
+        ran_s = 0.0 if allocation.running_since is None else self._now - allocation.running_since
+        job = self._jobs.get(allocation.task.job)
         return job is not None and ran_s <= COUNTED_START_S and job.placed_count() <= 1
 
-    def _loss(self, hold: Hold) -> float:
+    def _loss(self, allocation: Allocation) -> float:
         """Processor time that is lost if the task is stopped now."""
-        if hold.running_since is None:
+        if allocation.running_since is None:
             return 0.0
-        ran_s = self._now - hold.running_since
-        saved = hold.spec.checkpoint_s > 0
-        return hold.spec.cpus * (min(ran_s, hold.spec.save_s) if saved else ran_s)
+        ran_s = self._now - allocation.running_since
+        saved = allocation.spec.checkpoint_s > 0
+        return allocation.spec.cpus * (min(ran_s, allocation.spec.save_s) if saved else ran_s)
 
     def _stop(self, option: Option) -> None:
-        for hold in option.victims:
-            self._stopped.add((hold.machine, hold.key))
-            option.room.give_back(hold.spec)
-            self._chosen.append(Victim(option.room.machine, hold))
+        for allocation in option.victims:
+            self._stopped.add((allocation.machine, allocation.key))
+            option.candidate.give_back(allocation.spec)
+            self._chosen.append(Victim(option.candidate.machine, allocation))
 
 
-def _start_under_way(hold: Hold) -> bool:
+def _start_under_way(allocation: Allocation) -> bool:
     """Whether its start was sent and is not seen yet: to be sure of its end takes a new token."""
-    return hold.sent and not hold.listed
+    return allocation.sent and not allocation.listed
--- a/src/crosscleat/core/scheduling/reservations.py
+++ b/src/crosscleat/core/scheduling/reservations.py
@@ -14,7 +14,7 @@
 from ..state.jobs import Job
 from ..state.machine import Machine
 from .feasibility import LARGE_SHARE
-from .free_capacity import MachineGroup, Reservation, Room, fitting
+from .free_capacity import FreeCapacity, MachineGroup, Reservation, fitting
 from .scoring import Scorer
 
 RESERVE_AFTER_S = 5.0
@@ -25,14 +25,14 @@
 
 
 def reserve_machines(
-    rooms: Iterable[Room],
+    candidates: Iterable[FreeCapacity],
     waiting: Iterable[Job],
     scorer: Scorer,
     now: Seconds,
     team_admits: Callable[[Job], bool],
 ) -> None:
     """Reserve a few machines for large tasks and gangs that have waited, the oldest job first."""
-    groups = _groups(rooms)
+    groups = _groups(candidates)
     waited = [job for job in waiting if now - job.submitted >= RESERVE_AFTER_S]
     smallest = _smallest(groups)
     found = [job for job in waited if job.gang or _may_be_large(job, smallest)]
@@ -42,43 +42,47 @@
         able = [group for group in groups if _large_on(job, group.machine, scorer)]
         if job.gang:
             able = _able_to_hold_all(job, able)
-        most = max(1, int(RESERVED_SHARE * sum(len(group.rooms) for group in able)))
+        most = max(1, int(RESERVED_SHARE * sum(len(group.candidates) for group in able)))
         count = most - sum(group.reserved for group in able)
         count = min(count, _machines_needed(job, able, scorer))
         if count > 0:
             _reserve(job, able, count)
 
 
-def reserve_ordinary(rooms: Iterable[Room], cpus: float) -> None:
+def reserve_ordinary(candidates: Iterable[FreeCapacity], cpus: float) -> None:
     """Leave so much room on ordinary machines to work that may use no others.
 
     In one zone, where most of it is free: a gang often has to be in one.
     """
     if cpus <= 0.0:
         return
-    by_zone: dict[Zone, list[Room]] = {}
-    for room in rooms:
-        if not room.machine.spot and room.cpus > 0.0:
-            by_zone.setdefault(room.machine.zone, []).append(room)
-    best = max(by_zone.values(), key=lambda found: sum(room.cpus for room in found), default=[])
+    by_zone: dict[Zone, list[FreeCapacity]] = {}
+    for candidate in candidates:
+        if not candidate.machine.spot and candidate.cpus > 0.0:
+            by_zone.setdefault(candidate.machine.zone, []).append(candidate)
+    best = max(
+        by_zone.values(), key=lambda found: sum(candidate.cpus for candidate in found), default=[]
+    )
     # Small machines first: large ones are left to large tasks.
-    for room in sorted(best, key=lambda room: (room.machine.type.cpus, -room.cpus)):
+    for candidate in sorted(
+        best, key=lambda candidate: (candidate.machine.type.cpus, -candidate.cpus)
+    ):
         if cpus <= 0.0:
             return
-        room.ordinary_only = True
-        cpus -= room.cpus
+        candidate.ordinary_only = True
+        cpus -= candidate.cpus
 
 
-def _groups(rooms: Iterable[Room]) -> list[MachineGroup]:
+def _groups(candidates: Iterable[FreeCapacity]) -> list[MachineGroup]:
     """Machines of a kind are alike to a job: it looks at each kind once, not at each machine."""
     groups: dict[tuple[TypeName, Zone, bool], MachineGroup] = {}
-    for room in rooms:
-        machine = room.machine
+    for candidate in candidates:
+        machine = candidate.machine
         key = (machine.type.name, machine.zone, machine.spot)
         group = groups.get(key)
         if group is None:
             group = groups[key] = MachineGroup(machine)
-        group.rooms.append(room)
+        group.candidates.append(candidate)
     return list(groups.values())
 
 
@@ -102,7 +106,7 @@
 
 def _large_on(job: Job, machine: Machine, scorer: Scorer) -> bool:
     """Whether it needs a machine that is emptied for it, or, as a gang, several places at once."""
-    if not machine.type.holds(job.spec) or not machine.allowed(job.spec):
+    if not machine.type.has_capacity_for(job.spec) or not machine.allowed(job.spec):
         return False
     share = scorer.share(job.spec, machine.type)
     return (share * job.spec.tasks if job.gang else share) >= LARGE_SHARE
@@ -122,14 +126,14 @@
 
 def _most_tasks(job: Job, groups: list[MachineGroup]) -> int:
     """How many of the job's tasks the machines would hold if they were empty."""
-    kinds = ((group.machine.type, len(group.rooms)) for group in groups)
+    kinds = ((group.machine.type, len(group.candidates)) for group in groups)
     return sum(
         count * fitting(job.spec, kind.cpus, kind.memory_gb, kind.gpus) for kind, count in kinds
     )
 
 
 def _free_cpus(groups: list[MachineGroup]) -> float:
-    return sum(room.cpus for group in groups for room in group.rooms)
+    return sum(candidate.cpus for group in groups for candidate in group.candidates)
 
 
 def _machines_needed(job: Job, able: list[MachineGroup], scorer: Scorer) -> int:
@@ -143,12 +147,12 @@
 def _reserve(job: Job, able: list[MachineGroup], count: int) -> None:
     """The emptiest machines that no other job has reserved."""
     free = (
-        (-room.cpus, -room.memory, number, room, group)
-        for number, (room, group) in enumerate(
-            (room, group) for group in able for room in group.rooms
+        (-candidate.cpus, -candidate.memory, number, candidate, group)
+        for number, (candidate, group) in enumerate(
+            (candidate, group) for group in able for candidate in group.candidates
         )
-        if room.reservation is None
+        if candidate.reservation is None
     )
-    for *_, room, group in heapq.nsmallest(count, free):
-        room.reservation = Reservation(job.ref, job.spec.priority, job.submitted, job.gang)
+    for *_, candidate, group in heapq.nsmallest(count, free):
+        candidate.reservation = Reservation(job.ref, job.spec.priority, job.submitted, job.gang)
         group.reserved += 1
--- a/src/crosscleat/core/scheduling/scoring.py
+++ b/src/crosscleat/core/scheduling/scoring.py
@@ -57,10 +57,10 @@
         self._run_times = run_times
         self._limits: dict[str, float | None] = {}
         self._starts: dict[str, tuple[float, ...]] = {}
-        self.weight = deployment.knobs.weight
+        self.weight = deployment.tuning.weight
         self.max_cost = 1e-9
 
-    def due(self, job: JobSpec) -> float:
+    def completion_target_s(self, job: JobSpec) -> float:
         """Seconds after submission from which the job is worth less: deadline, aim or estimate."""
         if job.deadline_s is not None:
             return job.deadline_s
@@ -70,7 +70,7 @@
         limit = self._limits[job.job_class]
         return limit if limit is not None else 60.0 + 3.0 * self._run_times.estimate(job)
 
-    def dues(self, job: JobSpec) -> list[float]:
+    def completion_targets_s(self, job: JobSpec) -> list[float]:
         """The times after submission by which the aims want it done, the first one first."""
         if job.deadline_s is not None:
             return [job.deadline_s]
@@ -81,14 +81,14 @@
 
         The paper knows completion alone; the aims also ask for starts within a time.
         """
-        due = max(1.0, self.due(job))
+        completion_target_s = max(1.0, self.completion_target_s(job))
         peak = PEAKS[job.priority]
         for limit in self._start_limits(job.job_class):
             if start_age > limit:
                 peak *= LATE_START
-        if completion_age <= due:
-            return peak * (1.0 - 0.3 * max(0.0, completion_age) / due)
-        return peak * 0.7 * math.exp(-(completion_age - due) / due)
+        if completion_age <= completion_target_s:
+            return peak * (1.0 - 0.3 * max(0.0, completion_age) / completion_target_s)
+        return peak * 0.7 * math.exp(-(completion_age - completion_target_s) / completion_target_s)
 
     def _start_limits(self, job_class: str) -> tuple[float, ...]:
         limits = self._starts.get(job_class)
--- a/src/crosscleat/core/scheduling/sharding.py
+++ b/src/crosscleat/core/scheduling/sharding.py
@@ -16,54 +16,54 @@
 from ..model.deployment import Deployment, TeamLimits
 from ..model.ids import Image, JobRef, MachineId, Member, Seconds, Team, TypeName, Version
 from ..model.job_spec import Priority
-from ..model.shards import JobView, Proposal, RoomView, View
-from ..state.cluster import Ledger
+from ..model.shards import JobView, MachineView, ShardProposal, ShardView
+from ..state.cluster import ClusterState
 from ..state.jobs import Job
 from ..state.machine import Machine
-from .cycle import MOST_CHOICES, Round
-from .free_capacity import Choice, Reservation, troubled
+from .cycle import MAX_ASSIGNMENTS, SchedulingCycle
+from .free_capacity import Assignment, Reservation, troubled
 from .scoring import RunTimes, Scorer
 
-MOST_JOBS = 60
+MAX_JOBS = 60
 """Jobs that one view shows; the leader plans the others."""
 
-MOST_ROOMS = 1_000
+MAX_ROOMS = 1_000
 """Machines that one view shows: of more, a sample, so that the message keeps to its bound."""
 
-MOST_FAILED_SHOWN = 50
+MAX_FAILED_SHOWN = 50
 """Machines on which a job failed that a view names; the leader's own check knows all."""
 
 
-def owner(job: JobRef, members: tuple[Member, ...]) -> Member:
+def shard_owner(job: JobRef, members: tuple[Member, ...]) -> Member:
     """The controller that plans the job."""
     return members[zlib.crc32(job.encode()) % len(members)]
 
 
-def is_partitioned(job: Job) -> bool:
+def is_shardable(job: Job) -> bool:
     """Whether an owner may plan it: not what is tried with care, whole or after all others."""
     return not job.gang and not job.backfill and not troubled(job)
 
 
-def shares_of(
-    parts: dict[Member, list[Job]], limits: dict[Team, TeamLimits], ledger: Ledger
+def quota_shares(
+    shards: dict[Member, list[Job]], limits: dict[Team, TeamLimits], cluster: ClusterState
 ) -> dict[Member, dict[Team, tuple[float, float]]]:
     """What is left of each team's limit, divided by what waits in each part."""
     asked: dict[Team, float] = {}
     mine: dict[tuple[Member, Team], float] = {}
-    for member, jobs in parts.items():
+    for member, jobs in shards.items():
         for job in jobs:
             cpus = job.waiting_count() * max(job.spec.cpus, 1e-3)
             team = job.spec.team
             asked[team] = asked.get(team, 0.0) + cpus
             mine[member, team] = mine.get((member, team), 0.0) + cpus
-    shares: dict[Member, dict[Team, tuple[float, float]]] = {member: {} for member in parts}
+    shares: dict[Member, dict[Team, tuple[float, float]]] = {member: {} for member in shards}
     for (member, team), cpus in mine.items():
         limit = limits.get(team)
         if limit is None:
             continue
-        part = cpus / asked[team]
-        free = part * (limit.cpus_max - ledger.team_cpus.get(team, 0.0))
-        gpus = part * (limit.gpus_max - ledger.team_gpus.get(team, 0.0))
+        fraction = cpus / asked[team]
+        free = fraction * (limit.cpus_max - cluster.team_cpus.get(team, 0.0))
+        gpus = fraction * (limit.gpus_max - cluster.team_gpus.get(team, 0.0))
         if limit.cpus_max <= 0 or free > 0:
             # 0 would mean that there is no limit.
             shares[member][team] = (
@@ -73,38 +73,38 @@
     return shares
 
 
-def view_of(
+def build_shard_view(
     number: int,
     jobs: Iterable[Job],
     machines: Iterable[Machine],
-    ledger: Ledger,
+    cluster: ClusterState,
     reservations: dict[MachineId, Reservation],
     shares: dict[Team, tuple[float, float]],
     reserve: float,
     factors: dict[str, float],
     now: Seconds,
     rng: Random,
-) -> View:
+) -> ShardView:
     """An owner's part as it is sent."""
-    rooms = [machine for machine in machines if machine.used_cpus < machine.type.cpus]
-    if len(rooms) > MOST_ROOMS:
-        rooms = rng.sample(rooms, MOST_ROOMS)
-    found = sorted(jobs, key=lambda job: (-job.spec.priority, job.submitted))[:MOST_JOBS]
-    return View(
+    candidates = [machine for machine in machines if machine.used_cpus < machine.type.cpus]
+    if len(candidates) > MAX_ROOMS:
+        candidates = rng.sample(candidates, MAX_ROOMS)
+    found = sorted(jobs, key=lambda job: (-job.spec.priority, job.submitted))[:MAX_JOBS]
+    return ShardView(
         number,
         tuple(
             JobView(
                 job.spec,
                 now - job.submitted,
                 job.waiting_count(),
-                tuple(sorted(job.failed_on)[:MOST_FAILED_SHOWN]),
-                ledger.job_zones.get(job.ref, {}),
+                tuple(sorted(job.failed_on)[:MAX_FAILED_SHOWN]),
+                cluster.job_zones.get(job.ref, {}),
                 job.at_risk,
             )
             for job in found
         ),
         tuple(
-            RoomView(
+            MachineView(
                 m.id,
                 m.type.name,
                 m.zone,
@@ -115,7 +115,7 @@
                 {Image(i): max(0.0, ready - now) for i, ready in m.images.items()},
                 _reservation_view(reservations.get(m.id), now),
             )
-            for m in rooms
+            for m in candidates
         ),
         shares,
         reserve,
@@ -132,14 +132,14 @@
 
 
 def plan(
-    view: View,
+    view: ShardView,
     deployment: Deployment,
     types: dict[TypeName, MachineType],
     rng: Random,
     now: Seconds,
-) -> Proposal:
+) -> ShardProposal:
     """The owner's side: the leader's own function, on what the leader has told."""
-    ledger = Ledger()
+    cluster = ClusterState()
     jobs = []
     for given in view.jobs:
         job = Job(given.spec, Version(0), Seconds(now - given.age_s))
@@ -149,20 +149,22 @@
         job.at_risk = given.at_risk
         # Which of them may use what is kept for others, the leader decides by itself.
         job.idle_since = now
-        ledger.job_zones[job.ref] = dict(given.zones)
+        cluster.job_zones[job.ref] = dict(given.zones)
         jobs.append(job)
     machines = []
     reservations = {}
-    for room in view.rooms:
-        if room.type in types:
-            machine = Machine(room.machine, types[room.type], room.zone, room.spot)
-            machine.used_cpus = room.used_cpus
-            machine.used_gpus = room.used_gpus
-            machine.used_memory = room.used_memory
-            machine.images = {i: Seconds(now + wait) for i, wait in room.images.items()}
+    for candidate in view.rooms:
+        if candidate.type in types:
+            machine = Machine(
+                candidate.machine, types[candidate.type], candidate.zone, candidate.spot
+            )
+            machine.used_cpus = candidate.used_cpus
+            machine.used_gpus = candidate.used_gpus
+            machine.used_memory = candidate.used_memory
+            machine.images = {i: Seconds(now + wait) for i, wait in candidate.images.items()}
             machines.append(machine)
-            if room.reservation is not None:
-                job_ref, priority, age_s = room.reservation
+            if candidate.reservation is not None:
+                job_ref, priority, age_s = candidate.reservation
                 since = Seconds(now - age_s)
                 reservations[machine.id] = Reservation(job_ref, priority, since)
     teams = {
@@ -170,13 +172,13 @@
     }
     run_times = RunTimes()
     run_times.factors = dict(view.factors)
-    choices: list[Choice] = Round(
-        ledger,
+    assignments: list[Assignment] = SchedulingCycle(
+        cluster,
         Scorer(deployment, run_times),
         teams,
         rng,
         now,
-        deployment.knobs.drop_threshold,
+        deployment.tuning.drop_threshold,
         view.reserve,
-    ).plan(jobs, machines, MOST_CHOICES, reservations)
-    return Proposal(view.number, tuple((c.job, c.machine) for c in choices))
+    ).plan(jobs, machines, MAX_ASSIGNMENTS, reservations)
+    return ShardProposal(view.number, tuple((c.job, c.machine) for c in assignments))
--- a/src/crosscleat/core/state/allocations.py
+++ b/src/crosscleat/core/state/allocations.py
@@ -6,10 +6,10 @@
 
 from ..model.ids import (
     LONG_AGO,
+    AgentEpoch,
     Attempt,
     MachineId,
     Seconds,
-    Session,
     TaskId,
     Zone,
 )
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class Hold:
+class Allocation:
     """The room, quota and place that one attempt takes until it is proven gone."""
 
     task: TaskId
@@ -27,13 +27,13 @@
     spec: JobSpec
     machine: MachineId
     zone: Zone
-    session: Session
+    agent_epoch: AgentEpoch
     recorded: bool = False
     """The store has the placement: a start may be sent."""
     listed: bool = False
     """The newest report lists it."""
     state: str = ""
-    withdrawn: bool = False
+    stopping: bool = False
     """It is to go: no start is sent any more, and a stop when it is listed."""
     replaced: bool = False
     """Withdrawn by itself: its gang waits, and another place is found for it."""
--- a/src/crosscleat/core/state/batch.py
+++ b/src/crosscleat/core/state/batch.py
@@ -4,14 +4,14 @@
 
 from ..model.ids import Version
 from ..model.store_calls import Put, Remove
-from .decommission_records import DropRecord
+from .decommission_records import DecommissionRecord
 from .job_records import ended_record
 from .jobs import Chunk, Job, RecordedPlacement
 from .keys import LEADER, ended_key, live_key
 from .machine import Machine
-from .placement_records import WorkRecord
+from .placement_records import PlacementRecord
 
-MOST_BYTES = 48 * 1024
+MAX_BYTES = 48 * 1024
 """64 KiB is the limit for a whole transaction: leave room for conditions and ends."""
 
 
@@ -21,17 +21,17 @@
     def __init__(self, token: int, most: int) -> None:
         self.conditions: dict[str, Version] = {LEADER: Version(token)}
         self.writes: list[Put | Remove] = []
-        self.drops: list[Machine] = []
-        self.drop_record: DropRecord | None = None
+        self.decommissioned: list[Machine] = []
+        self.decommission_record: DecommissionRecord | None = None
         self.jobs: dict[Job, None] = {}
         """Those whose live record is compared."""
         self.ended: list[Job] = []
-        self.records: list[WorkRecord] = []
-        self.closing: list[WorkRecord] = []
+        self.records: list[PlacementRecord] = []
+        self.closing: list[PlacementRecord] = []
         self.chunks: list[tuple[Job, Chunk, frozenset[RecordedPlacement]]] = []
         self._most = most
         self._most_conditions = 4 * most
-        self._bytes_left = MOST_BYTES
+        self._bytes_left = MAX_BYTES
 
     def room(self, writes: int, conditions: int) -> bool:
         """Whether so many more writes and conditions fit."""
@@ -61,12 +61,12 @@
     def end(self, job: Job) -> None:
         """Record the job's end, if its live record is as we know it."""
         self._compare_job(job)
-        record = ended_record(job.spec.tasks, aborted=job.aborted)
+        record = ended_record(job.spec.tasks, cancelled=job.cancelled)
         self.writes.append(Put(ended_key(job.ref), record))
         self.writes.append(Remove(live_key(job.ref)))
         self.ended.append(job)
 
-    def record(self, record: WorkRecord) -> None:
+    def record(self, record: PlacementRecord) -> None:
         """Write it, if there is room, comparing each job of which an attempt is new."""
         starting = [job for job, chunk in record.members.values() if chunk.unrecorded()]
         if record in self.records or record.size > self._bytes_left:
--- a/src/crosscleat/core/state/cluster.py
+++ b/src/crosscleat/core/state/cluster.py
@@ -16,20 +16,20 @@
 from collections.abc import Collection, Iterator
 
 from ..model.ids import (
+    AgentEpoch,
     Attempt,
     JobRef,
     MachineId,
-    Session,
     TaskId,
     Team,
     Zone,
 )
 from ..model.job_spec import JobSpec, Priority
-from .allocations import Hold
+from .allocations import Allocation
 from .machine import NOWHERE, Machine
 
 
-class Ledger:
+class ClusterState:
     """All holds, by machine, with the room, quota and zones that they take."""
 
     def __init__(self) -> None:
@@ -46,27 +46,27 @@
             if machines:
                 yield team, priority, machines.keys()
 
-    def add(self, machine: Machine, hold: Hold) -> None:
+    def add(self, machine: Machine, allocation: Allocation) -> None:
         """Count what the hold takes."""
-        machine.holds[hold.task, hold.attempt] = hold
-        self._count(machine, hold, 1)
+        machine.allocations[allocation.task, allocation.attempt] = allocation
+        self._count(machine, allocation, 1)
 
-    def remove(self, machine: Machine, hold: Hold) -> None:
+    def remove(self, machine: Machine, allocation: Allocation) -> None:
         """The attempt is proven gone."""
-        if machine.holds.pop((hold.task, hold.attempt), None) is not None:
-            self._count(machine, hold, -1)
+        if machine.allocations.pop((allocation.task, allocation.attempt), None) is not None:
+            self._count(machine, allocation, -1)
 
     def find(
         self, job: JobRef, number: int, attempt: Attempt, machine_id: MachineId
-    ) -> tuple[Machine, Hold] | None:
+    ) -> tuple[Machine, Allocation] | None:
         """The hold of this attempt on this machine."""
         machine = self.machines.get(machine_id)
-        hold = machine and machine.holds.get((TaskId(job, number), attempt))
-        return (machine, hold) if machine and hold else None
+        allocation = machine and machine.allocations.get((TaskId(job, number), attempt))
+        return (machine, allocation) if machine and allocation else None
 
-    def _count(self, machine: Machine, hold: Hold, sign: int) -> None:
-        job = hold.spec
-        if machine.holds:
+    def _count(self, machine: Machine, allocation: Allocation, sign: int) -> None:
+        job = allocation.spec
+        if machine.allocations:
             machine.used_cpus += sign * job.cpus
             machine.used_gpus += sign * job.gpus
             machine.used_memory += sign * job.memory_gb
@@ -79,9 +79,9 @@
         if running[machine.id] <= 0:
             del running[machine.id]
         zones = self.job_zones.setdefault(job.ref, {})
-        zones[hold.zone] = zones.get(hold.zone, 0) + sign
-        if zones[hold.zone] <= 0:
-            del zones[hold.zone]
+        zones[allocation.zone] = zones.get(allocation.zone, 0) + sign
+        if zones[allocation.zone] <= 0:
+            del zones[allocation.zone]
             if not zones:
                 del self.job_zones[job.ref]
 
@@ -99,6 +99,8 @@
         zones = self.job_zones.get(job.ref, {})
         return zones.get(zone, 0) + zones.get(NOWHERE, 0)
 
-    def before_session(self, machine: Machine, session: Session) -> list[Hold]:
+    def allocations_before_epoch(
+        self, machine: Machine, agent_epoch: AgentEpoch
+    ) -> list[Allocation]:
         """The holds that a report of this session proves gone."""
-        return [h for h in machine.holds.values() if h.session < session]
+        return [h for h in machine.allocations.values() if h.agent_epoch < agent_epoch]
--- a/src/crosscleat/core/state/decommission_records.py
+++ b/src/crosscleat/core/state/decommission_records.py
@@ -7,18 +7,18 @@
 
 from ..model.ids import ABSENT, MachineId, Version
 from ..model.store_calls import Item, Put
-from .keys import DROP
+from .keys import DECOMMISSIONED
 from .placement_records import (
     FULL,
 )
 
 NAME_BYTES = 24
 
-MOST_NAMES = 300
+MAX_NAMES = 300
 
 
 @dataclass(slots=True, eq=False)
-class DropRecord:
+class DecommissionRecord:
     """One value with the names of machines whose deletion is decided."""
 
     number: int
@@ -28,40 +28,40 @@
     @property
     def key(self) -> str:
         """Its key in the store."""
-        return f"{DROP}{self.number}"
+        return f"{DECOMMISSIONED}{self.number}"
 
     def put(self, more: Iterable[MachineId]) -> Put:
         """The write that adds these names."""
         return Put(self.key, {"machines": [*self.names, *more]})
 
 
-class DropRecords:
+class DecommissionRecords:
     """All records of deletions."""
 
     def __init__(self, value_kb: float) -> None:
-        self._most = min(MOST_NAMES, int(value_kb * 1024 * FULL) // NAME_BYTES)
-        self._records: dict[int, DropRecord] = {}
+        self._most = min(MAX_NAMES, int(value_kb * 1024 * FULL) // NAME_BYTES)
+        self._records: dict[int, DecommissionRecord] = {}
         self._next = 1
 
     def load(self, items: Iterable[Item]) -> list[MachineId]:
         """Take over what an earlier leader left; the names on record."""
         for item in items:
-            record = DropRecord(int(item.key.removeprefix(DROP)), item.version)
+            record = DecommissionRecord(int(item.key.removeprefix(DECOMMISSIONED)), item.version)
             record.names = dict.fromkeys(MachineId(name) for name in item.value["machines"])
             self._records[record.number] = record
             self._next = max(self._next, record.number + 1)
         return [name for record in self._records.values() for name in record.names]
 
-    def open(self) -> tuple[DropRecord, int]:
+    def open(self) -> tuple[DecommissionRecord, int]:
         """One with room for more names, and for how many."""
         for record in self._records.values():
             if len(record.names) < self._most // 2:
                 return record, self._most - len(record.names)
-        record = self._records[self._next] = DropRecord(self._next)
+        record = self._records[self._next] = DecommissionRecord(self._next)
         self._next += 1
         return record, self._most
 
-    def forget(self, name: MachineId) -> DropRecord | None:
+    def forget(self, name: MachineId) -> DecommissionRecord | None:
         """The name need not be known any more; the record, if it holds no other."""
         for record in self._records.values():
             if name in record.names:
--- a/src/crosscleat/core/state/gangs.py
+++ b/src/crosscleat/core/state/gangs.py
@@ -16,10 +16,10 @@
 from ..model.deployment import Deployment
 from ..model.ids import MachineId, Seconds
 from ..model.job_spec import JobSpec
-from .allocations import Hold
+from .allocations import Allocation
 from .machine import Machine
 
-Placed = tuple[Machine, Hold]
+Placed = tuple[Machine, Allocation]
 
 REPLACEABLE = (None, heartbeats.NO_ROOM, heartbeats.STOPPED)
 """Ends of a task that say nothing against completing the attempt that waits for it."""
@@ -121,14 +121,17 @@
 def phase_of(placed: Iterable[Placed]) -> Phase:
     """What the attempt with these placements is doing."""
     phase = Phase.WAITING
-    for machine, hold in placed:
-        if hold.replaced:
+    for machine, allocation in placed:
+        if allocation.replaced:
             continue
-        if hold.withdrawn:
+        if allocation.stopping:
             return Phase.STOPPING
-        if hold.running_since is not None or hold.state in (heartbeats.RUNNING, heartbeats.SAVING):
+        if allocation.running_since is not None or allocation.state in (
+            heartbeats.RUNNING,
+            heartbeats.SAVING,
+        ):
             return Phase.RUNNING
-        if hold.sent and not machine.known:
+        if allocation.sent and not machine.confirmed:
             phase = Phase.UNHEARD
     return phase
 
@@ -141,14 +144,14 @@
 def start_delay_s(machine: Machine, deployment: Deployment, now: Seconds) -> float:
     """How long a start takes to reach the machine: at once, or with its next check-in."""
     reachable = machine.address is not None and machine.direct_after <= now
-    return 0.0 if reachable else CHECK_IN_JITTER * deployment.report_s
+    return 0.0 if reachable else CHECK_IN_JITTER * deployment.heartbeat_interval_s
 
 
 def can_be_told(machine: Machine, deployment: Deployment, now: Seconds) -> bool:
     """Whether a stop sent now reaches the machine within `gang_peer_s`."""
-    check_in_s = CHECK_IN_JITTER * deployment.report_s
+    check_in_s = CHECK_IN_JITTER * deployment.heartbeat_interval_s
     heard = now - machine.last_heard <= check_in_s + STOP_MARGIN_S
-    if not heard or machine.deaf_since is not None:
+    if not heard or machine.unresponsive_since is not None:
         return False
     delay_s = start_delay_s(machine, deployment, now)
     return delay_s + STOP_MARGIN_S <= deployment.gang_peer_s
--- a/src/crosscleat/core/state/job_records.py
+++ b/src/crosscleat/core/state/job_records.py
@@ -11,9 +11,9 @@
 from ..model.store_calls import Record
 
 
-def live_record(spec: JobSpec, submitted: WallTime, aborted: bool) -> Record:
+def live_record(spec: JobSpec, submitted: WallTime, cancelled: bool) -> Record:
     """What is stored of a job until it is over."""
-    return {"spec": msgspec.to_builtins(spec), "at": submitted, "aborted": aborted}
+    return {"spec": msgspec.to_builtins(spec), "at": submitted, "aborted": cancelled}
 
 
 def spec_of(record: Record) -> JobSpec:
@@ -21,6 +21,6 @@
     return msgspec.convert(record["spec"], JobSpec)
 
 
-def ended_record(tasks: int, aborted: bool) -> Record:
+def ended_record(tasks: int, cancelled: bool) -> Record:
     """What is stored of a job's outcome, for good."""
-    return {"tasks": tasks, "aborted": aborted}
+    return {"tasks": tasks, "aborted": cancelled}
--- a/src/crosscleat/core/state/jobs.py
+++ b/src/crosscleat/core/state/jobs.py
@@ -14,11 +14,11 @@
 
 from ..model.ids import (
     LONG_AGO,
+    AgentEpoch,
     Attempt,
     JobRef,
     MachineId,
     Seconds,
-    Session,
     TaskId,
     Version,
 )
@@ -38,7 +38,7 @@
 
     attempt: Attempt
     machine: MachineId
-    session: Session
+    agent_epoch: AgentEpoch
 
 
 class RecordedPlacement(NamedTuple):
@@ -83,8 +83,8 @@
     spec: JobSpec
     version: Version
     submitted: Seconds
-    span: int = CHUNK
-    aborted: bool = False
+    chunk_length: int = CHUNK
+    cancelled: bool = False
     done: bytearray = field(default_factory=bytearray)
     done_count: int = 0
     fresh: int = 0
@@ -106,7 +106,7 @@
     """The loss of a cheap machine may well make it late (`interruptions`)."""
     backfill: bool = False
     """It only uses what others leave idle (`model.is_backfill`)."""
-    settling: bool = False
+    needs_reread: bool = False
     """Its end is being written, or its live record changed under a write of ours."""
 
     def __post_init__(self) -> None:
@@ -120,7 +120,7 @@
 
     def chunk_of(self, index: int) -> Chunk:
         """The chunk that holds the task."""
-        return self._chunk(index // self.span)
+        return self._chunk(index // self.chunk_length)
 
     def _chunk(self, number: int) -> Chunk:
         chunk = self.chunks.get(number)
@@ -173,7 +173,7 @@
             return self.again[-1]
         return self.fresh if self.fresh < self.spec.tasks else None
 
-    def place(self, machine: MachineId, session: Session) -> tuple[TaskId, Attempt]:
+    def place(self, machine: MachineId, agent_epoch: AgentEpoch) -> tuple[TaskId, Attempt]:
         """Take the next task and enter its new attempt, to be recorded before it is sent."""
         if self.gang and not self.placed_count():
             self.gang_attempt = self._tried_last()
@@ -188,7 +188,7 @@
         before = self.gang_attempt if self.gang else chunk.tries.get(index, 0)
         attempt = Attempt(before + 1)
         chunk.tries[index] = attempt
-        chunk.placed[index] = Placement(attempt, machine, session)
+        chunk.placed[index] = Placement(attempt, machine, agent_epoch)
         return TaskId(self.ref, index), attempt
 
     def _tried_last(self) -> Attempt:
@@ -198,7 +198,7 @@
 
     def is_current(self, index: int, attempt: Attempt, machine: MachineId) -> bool:
         """Whether the task's present attempt has this number and is on this machine."""
-        chunk = self.chunks.get(index // self.span)
+        chunk = self.chunks.get(index // self.chunk_length)
         placement = chunk.placed.get(index) if chunk is not None else None
         return (
             placement is not None and placement.attempt == attempt and placement.machine == machine
@@ -224,26 +224,29 @@
         else:
             heapq.heappush(self.resting, (not_before, index))
 
-    def work_record(self, chunk: Chunk) -> tuple[Record, Record]:
+    def chunk_record(self, chunk: Chunk) -> tuple[Record, Record]:
         """What a record keeps of the chunk: the tasks done, and the attempts of others."""
-        first = chunk.number * self.span
-        last = min(first + self.span, self.spec.tasks)
+        first = chunk.number * self.chunk_length
+        last = min(first + self.chunk_length, self.spec.tasks)
         rows: list[list[int | str]] = []
         for index, attempt in sorted(chunk.tries.items()):
             placement = chunk.placed.get(index)
             if placement is None:
                 rows.append([index, attempt])
             else:
-                rows.append([index, attempt, placement.machine, placement.session])
+                rows.append([index, attempt, placement.machine, placement.agent_epoch])
         return _ranges(self.done, first, last), rows
 
-    def load_work(self, first: int, last: int, done: Record, rows: Record) -> list[Chunk]:
+    def load_chunk_record(self, first: int, last: int, done: Record, rows: Record) -> list[Chunk]:
         """Take over these tasks as an earlier leader left them, in place of what was known."""
         for start, end in done:
             for index in range(start, end):
                 self.done[index] = 1
         last = min(last, self.spec.tasks)
-        found = [self._chunk(n) for n in range(first // self.span, (last - 1) // self.span + 1)]
+        found = [
+            self._chunk(n)
+            for n in range(first // self.chunk_length, (last - 1) // self.chunk_length + 1)
+        ]
         for chunk in found:
             for index in [i for i in chunk.tries if first <= i < last]:
                 del chunk.tries[index]
@@ -253,7 +256,7 @@
             chunk = self.chunk_of(index)
             chunk.tries[index] = attempt
             if len(row) > 2:
-                chunk.placed[index] = Placement(attempt, MachineId(row[2]), Session(row[3]))
+                chunk.placed[index] = Placement(attempt, MachineId(row[2]), AgentEpoch(row[3]))
         for chunk in found:
             chunk.recorded = chunk.entered()
         return found
@@ -263,7 +266,7 @@
         self.done_count = sum(self.done)
         if self.gang and self.placed_count():
             self.gang_attempt = Attempt(self._tried_last() - 1)
-        reached = (max(self.chunks) + 1) * self.span if self.chunks else 0
+        reached = (max(self.chunks) + 1) * self.chunk_length if self.chunks else 0
         self.fresh = min(reached, self.spec.tasks)
         self.again = [
             index
@@ -282,7 +285,7 @@
 
     def is_placed(self, index: int) -> bool:
         """Whether an attempt of the task may be on a machine."""
-        chunk = self.chunks.get(index // self.span)
+        chunk = self.chunks.get(index // self.chunk_length)
         return chunk is not None and index in chunk.placed
 
     @property
@@ -294,7 +297,7 @@
         """Nothing more can happen to any task of it."""
         if self.complete:
             return True
-        return self.aborted and self.placed_count() == 0
+        return self.cancelled and self.placed_count() == 0
 
 
 def _ranges(flags: bytearray, first: int, last: int) -> list[list[int]]:
--- a/src/crosscleat/core/state/keys.py
+++ b/src/crosscleat/core/state/keys.py
@@ -23,8 +23,8 @@
     return ENDED + ref
 
 
-WORK = "work/"
+PLACEMENTS = "work/"
 
-DROP = "drop/"
+DECOMMISSIONED = "drop/"
 
 LEADER = "leader"
--- a/src/crosscleat/core/state/machine.py
+++ b/src/crosscleat/core/state/machine.py
@@ -6,19 +6,19 @@
 from dataclasses import dataclass, field
 
 from ..model.cloud import MachineType
-from ..model.heartbeats import EXITED, TaskReport
+from ..model.heartbeats import EXITED, TaskStatus
 from ..model.ids import (
     LONG_AGO,
-    NEVER,
+    NO_HEARTBEAT,
+    HeartbeatId,
     MachineId,
     Seconds,
-    Seen,
     Token,
     TypeName,
     Zone,
 )
 from ..model.job_spec import JobSpec
-from .allocations import AttemptKey, Hold
+from .allocations import Allocation, AttemptKey
 
 NEVER_ANSWERED = Seconds(-math.inf)
 
@@ -37,17 +37,17 @@
     zone: Zone
     spot: bool
     address: str | None = None
-    born: Seconds = LONG_AGO
+    created_at: Seconds = LONG_AGO
     up: bool = False
     listed: bool = False
     """The cloud's list has named it."""
     listed_running: bool = False
     """The cloud's list has named it as running: it has booted, heard of or not."""
-    seen: Seen = NEVER
-    checked: int = 0
+    heartbeat_id: HeartbeatId = NO_HEARTBEAT
+    heartbeat_sequence: int = 0
     """Tally of the newest check-in; answers to direct orders count in `seen` alone."""
     shown_token: int = 0
-    risk_token: int = 0
+    pending_start_token: int = 0
     """A direct start sent with this token or a lower one may still be executed."""
     direct_in_flight: bool = False
     last_heard: Seconds = LONG_AGO
@@ -57,22 +57,22 @@
     """Since when we have answered them with no long pause."""
     last_answer: Seconds = LONG_AGO
     """When anyone could last have renewed the worker's lease."""
-    recall_at: Seconds | None = None
-    suspect: bool = False
+    reclaim_at: Seconds | None = None
+    quarantined: bool = False
     surplus: bool = False
     """It is not needed any more, and returned once it is empty."""
     errors: set[str] = field(default_factory=set)
     full_until: Seconds = LONG_AGO
-    dropping: bool = False
+    decommissioning: bool = False
     """Its deletion is decided; nothing is placed on it again."""
-    mute: bool = False
+    deleted_for_silence: bool = False
     """Its deletion was decided because nothing was heard of it."""
-    drop_recorded: bool = False
+    decommission_recorded: bool = False
     delete_sent: Seconds | None = None
     images: dict[str, Seconds] = field(default_factory=dict)
     """Images it should have, and from when on; the one used last comes last."""
     image_gb: dict[str, float] = field(default_factory=dict)
-    holds: dict[AttemptKey, Hold] = field(default_factory=dict)
+    allocations: dict[AttemptKey, Allocation] = field(default_factory=dict)
     exited: dict[AttemptKey, str] = field(default_factory=dict)
     """Attempts that the newest report lists as exited."""
     idle_since: Seconds | None = None
@@ -81,11 +81,11 @@
     used_memory: float = 0.0
     direct_starts: dict[AttemptKey, Token] = field(default_factory=dict)
     """Attempts of this session whose start was sent directly, and with which token."""
-    strays: set[AttemptKey] = field(default_factory=set)
+    orphans: set[AttemptKey] = field(default_factory=set)
     """Attempts at work on it that no record knows: to be stopped."""
-    known: bool = False
+    confirmed: bool = False
     """Rented or heard of for certain in this term: what speaks for it is no old report."""
-    deaf_since: Seconds | None = None
+    unresponsive_since: Seconds | None = None
     """Its reports show that it does not take up what our answers say."""
     probed_at: Seconds = LONG_AGO
     direct_misses: int = 0
@@ -100,15 +100,15 @@
     @property
     def draining(self) -> bool:
         """Whether nothing more is placed on it, and it is returned once it is empty."""
-        return self.suspect or self.surplus or self.recall_at is not None
+        return self.quarantined or self.surplus or self.reclaim_at is not None
 
-    def begin_session(self) -> None:
+    def begin_agent_epoch(self) -> None:
         """Its lease ran out: what it did and heard before means nothing any more."""
         self.exited.clear()
-        self.strays.clear()
+        self.orphans.clear()
         self.direct_starts.clear()
 
-    def take_list(self, listed: dict[AttemptKey, TaskReport]) -> None:
+    def update_task_list(self, listed: dict[AttemptKey, TaskStatus]) -> None:
         """What the newest report says of tasks that no record knows, and of exited ones."""
         self.exited = {
             key: task.cause or "" for key, task in listed.items() if task.state == EXITED
@@ -117,10 +117,12 @@
             self.direct_starts = {
                 key: token
                 for key, token in self.direct_starts.items()
-                if key in listed or key in self.holds
+                if key in listed or key in self.allocations
             }
-        self.strays = {
-            key for key, task in listed.items() if task.state != EXITED and key not in self.holds
+        self.orphans = {
+            key
+            for key, task in listed.items()
+            if task.state != EXITED and key not in self.allocations
         }
 
     def fits(self, job: JobSpec) -> bool:
@@ -135,7 +137,7 @@
         """A task is to use the image: it is there, or will be then, and others make room."""
         self.images[image] = self.images.pop(image, ready)
         self.image_gb[image] = size_gb
-        wanted = {hold.spec.image for hold in self.holds.values()}
+        wanted = {allocation.spec.image for allocation in self.allocations.values()}
         for old in list(self.images):
             if sum(self.image_gb.values()) <= self.type.cache_gb or old == image:
                 break
@@ -150,14 +152,14 @@
             and (job.spot or not self.spot)
         )
 
-    def may_still_start(self, hold: Hold) -> bool:
+    def may_still_start(self, allocation: Allocation) -> bool:
         """Whether a start of this hold that was sent could yet be executed.
 
         A direct start stays possible until the worker has shown a higher token. One in a
         check-in's answer is executed before the next check-in is sent, or never.
         """
-        if not hold.sent:
+        if not allocation.sent:
             return False
-        if self.direct_in_flight or self.shown_token <= self.risk_token:
+        if self.direct_in_flight or self.shown_token <= self.pending_start_token:
             return True
-        return self.checked <= hold.answered_at
+        return self.heartbeat_sequence <= allocation.answered_at
--- a/src/crosscleat/core/state/placement_records.py
+++ b/src/crosscleat/core/state/placement_records.py
@@ -20,7 +20,7 @@
 from ..model.job_spec import Priority
 from ..model.store_calls import Item, Record
 from .jobs import CHUNK, Chunk, Job
-from .keys import WORK
+from .keys import PLACEMENTS
 
 TASK_BYTES = 40
 """More than a task takes in a record, whatever its state, in the form that limits count."""
@@ -36,13 +36,13 @@
 """A start that has waited so long to be written goes before more urgent ones."""
 
 
-def span_of(value_kb: float) -> int:
+def chunk_length_for(value_kb: float) -> int:
     """How many tasks a chunk has, so that one fits into a value."""
     return min(CHUNK, (int(value_kb * 1024 * FULL) - CHUNK_BYTES) // TASK_BYTES)
 
 
 @dataclass(slots=True, eq=False)
-class WorkRecord:
+class PlacementRecord:
     """One value with the chunks of several jobs."""
 
     number: int
@@ -55,12 +55,12 @@
     urgent_since: Seconds = LONG_AGO
     closing: bool = False
     """Its removal is on the way: nothing is entered any more."""
-    span: int = CHUNK
+    chunk_length: int = CHUNK
 
     @property
     def key(self) -> str:
         """Its key in the store."""
-        return f"{WORK}{self.number}"
+        return f"{PLACEMENTS}{self.number}"
 
     def want(self, priority: Priority | None, now: Seconds) -> None:
         """Something in it changed; with a priority, a start waits for it."""
@@ -76,10 +76,14 @@
     def value(self) -> Record:
         """What is stored under it."""
         jobs = [
-            [ref, number, *job.work_record(chunk)]
+            [ref, number, *job.chunk_record(chunk)]
             for (ref, number), (job, chunk) in self.members.items()
         ]
-        return {"jobs": jobs} if self.span == CHUNK else {"jobs": jobs, "span": self.span}
+        return (
+            {"jobs": jobs}
+            if self.chunk_length == CHUNK
+            else {"jobs": jobs, "span": self.chunk_length}
+        )
 
 
 @dataclass(slots=True)
@@ -92,40 +96,44 @@
     """Those of our chunks that are not written yet."""
 
 
-class WorkRecords:
+class PlacementRecords:
     """All records of placements, and which chunk is in which."""
 
     def __init__(self, value_kb: float, txn_ops: int, cut: bool) -> None:
         """`cut`: whether chunks may be cut to fit a value, as no older version reads them."""
-        self.span = span_of(value_kb) if cut else CHUNK
-        self._most_bytes = int(value_kb * 1024 * (FULL if self.span < CHUNK else FILL))
+        self.chunk_length = chunk_length_for(value_kb) if cut else CHUNK
+        self._most_bytes = int(value_kb * 1024 * (FULL if self.chunk_length < CHUNK else FILL))
         # A transaction compares the live record of each job that starts something.
         self._most_members = 2 * txn_ops
-        self._records: dict[int, WorkRecord] = {}
+        self._records: dict[int, PlacementRecord] = {}
         self._superseded: list[Superseded] = []
         self._next = 1
 
-    def __iter__(self) -> Iterator[WorkRecord]:
+    def __iter__(self) -> Iterator[PlacementRecord]:
         return iter(self._records.values())
 
     def load(self, items: Iterable[Item], jobs: dict[JobRef, Job]) -> None:
         """Take over what an earlier leader left; jobs that are not live have ended."""
         # The later change holds, so it comes last.
         for item in sorted(items, key=lambda item: item.version):
-            number = int(item.key.removeprefix(WORK))
+            number = int(item.key.removeprefix(PLACEMENTS))
             self._next = max(self._next, number + 1)
-            span = item.value.get("span", CHUNK)
+            chunk_length = item.value.get("span", CHUNK)
             old = Superseded(item.key, item.version)
-            if span == self.span:
-                self._records[number] = WorkRecord(number, item.version, span=span)
+            if chunk_length == self.chunk_length:
+                self._records[number] = PlacementRecord(
+                    number, item.version, chunk_length=chunk_length
+                )
             else:
                 self._superseded.append(old)
             for ref, part, done, rows in item.value["jobs"]:
                 job = jobs.get(JobRef(ref))
                 if job is None:
                     continue
-                for chunk in job.load_work(part * span, (part + 1) * span, done, rows):
-                    if span == self.span:
+                for chunk in job.load_chunk_record(
+                    part * chunk_length, (part + 1) * chunk_length, done, rows
+                ):
+                    if chunk_length == self.chunk_length:
                         self._leave(job, chunk)
                         chunk.record = number
                         self._enter(self._records[number], job, chunk)
@@ -159,27 +167,27 @@
         return found
 
     def _bytes(self, job: Job) -> int:
-        return CHUNK_BYTES + TASK_BYTES * min(self.span, job.spec.tasks)
+        return CHUNK_BYTES + TASK_BYTES * min(self.chunk_length, job.spec.tasks)
 
-    def _enter(self, record: WorkRecord, job: Job, chunk: Chunk) -> None:
+    def _enter(self, record: PlacementRecord, job: Job, chunk: Chunk) -> None:
         record.members[job.ref, chunk.number] = job, chunk
         record.size += self._bytes(job)
 
-    def of(self, job: Job, chunk: Chunk) -> WorkRecord:
+    def of(self, job: Job, chunk: Chunk) -> PlacementRecord:
         """The record that keeps the chunk: the one it is in, or one that has room."""
         if chunk.record is not None:
             return self._records[chunk.record]
         size = self._bytes(job)
         record = next((r for r in self._records.values() if self._has_room(r, size)), None)
         if record is None:
-            record = WorkRecord(self._next, span=self.span)
+            record = PlacementRecord(self._next, chunk_length=self.chunk_length)
             self._records[record.number] = record
             self._next += 1
         chunk.record = record.number
         self._enter(record, job, chunk)
         return record
 
-    def _has_room(self, record: WorkRecord, size: int) -> bool:
+    def _has_room(self, record: PlacementRecord, size: int) -> bool:
         return (
             not record.closing
             and len(record.members) < self._most_members
@@ -195,7 +203,7 @@
                 del record.members[job.ref, chunk.number]
                 record.size -= self._bytes(job)
 
-    def urgent(self, now: Seconds) -> list[WorkRecord]:
+    def urgent(self, now: Seconds) -> list[PlacementRecord]:
         """Those that starts wait for, in the order in which they are to be written."""
         waiting = [r for r in self._records.values() if r.urgent is not None]
         return sorted(
@@ -203,10 +211,10 @@
             key=lambda r: (now - r.urgent_since < OVERDUE_S, -(r.urgent or 0), r.urgent_since),
         )
 
-    def lazy(self) -> list[WorkRecord]:
+    def lazy(self) -> list[PlacementRecord]:
         """Those that can wait, a removal being one that changes nothing any more."""
         return [r for r in self._records.values() if r.dirty or (not r.members and not r.closing)]
 
-    def removed(self, record: WorkRecord) -> None:
+    def removed(self, record: PlacementRecord) -> None:
         """The record is gone from the store."""
         del self._records[record.number]
--- a/src/crosscleat/settings.py
+++ b/src/crosscleat/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta
 
-from .core.model.deployment import Deployment, Knobs, Objective, TeamLimits
+from .core.model.deployment import Deployment, Objective, TeamLimits, TuningOptions
 from .core.model.ids import Member, Team
 
 Positive = Annotated[float, Meta(gt=0.0, le=1e9)]
@@ -131,7 +131,7 @@
     zone: str = ""
     peers: list[Peer] = []
 
-    def deployment(self, knobs: Knobs) -> Deployment:
+    def deployment(self, tuning: TuningOptions) -> Deployment:
         """What decisions depend on."""
         params = self.settings
         state = params.state.tighter()
@@ -144,14 +144,14 @@
                 for t in params.teams
             },
             objectives=tuple(Objective(o.kind, o.job_class, o.within_s) for o in params.objectives),
-            report_s=params.workers.report_s,
+            heartbeat_interval_s=params.workers.report_s,
             lease_s=params.workers.lease_s,
             cancel_s=params.workers.cancel_s,
             gang_wait_s=params.workers.gang_wait_s,
             gang_peer_s=params.workers.gang_peer_s,
             value_kb=state.value_kb,
             txn_ops=state.txn_ops,
-            knobs=knobs,
+            tuning=tuning,
         )
 
 
--- a/src/crosscleat/wire/peers.py
+++ b/src/crosscleat/wire/peers.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from ..core.model.shards import Proposal, View
+from ..core.model.shards import ShardProposal, ShardView
 
-MOST_FRAME = 1 << 20
+MAX_FRAME = 1 << 20
 
 
 class Hello(msgspec.Struct, array_like=True, tag="hello", frozen=True):
@@ -42,35 +42,45 @@
     jobs: dict[str, tuple[int, int]]
 
 
-class Part(msgspec.Struct, array_like=True, tag="part", frozen=True):
+class ShardRequest(msgspec.Struct, array_like=True, tag="part", frozen=True):
     """The leader's request to plan a part of a round."""
 
-    view: View
+    view: ShardView
 
 
-class Proposed(msgspec.Struct, array_like=True, tag="proposed", frozen=True):
+class ShardProposed(msgspec.Struct, array_like=True, tag="proposed", frozen=True):
     """An owner's choices for its part."""
 
-    proposal: Proposal
+    proposal: ShardProposal
 
 
-class Probe(msgspec.Struct, array_like=True, tag="probe", frozen=True):
+class IndirectProbe(msgspec.Struct, array_like=True, tag="probe", frozen=True):
     """Asks for the report of a worker that the sender does not hear."""
 
     address: str
     token: int
-    session: int
+    agent_epoch: int
 
 
-class Probed(msgspec.Struct, array_like=True, tag="probed", frozen=True):
+class ProbeReply(msgspec.Struct, array_like=True, tag="probed", frozen=True):
     """The worker's report, as its body came in."""
 
     body: bytes
 
 
-Message = Hello | Ping | Relay | Relayed | Counts | Part | Proposed | Probe | Probed
+Message = (
+    Hello
+    | Ping
+    | Relay
+    | Relayed
+    | Counts
+    | ShardRequest
+    | ShardProposed
+    | IndirectProbe
+    | ProbeReply
+)
 
-Told = Counts | Part | Proposed | Probe | Probed
+Told = Counts | ShardRequest | ShardProposed | IndirectProbe | ProbeReply
 """What needs no answer on the same link."""
 
 _decoder = msgspec.msgpack.Decoder(Message)
@@ -84,7 +94,7 @@
 def frame(message: Message) -> bytes:
     """The message with its length in front, as it is sent."""
     body = _encoder.encode(message)
-    if len(body) > MOST_FRAME:
+    if len(body) > MAX_FRAME:
         raise FrameTooLongError(f"a message of {len(body)} bytes: {type(message).__name__}")
     return len(body).to_bytes(4, "big") + body
 
--- a/src/crosscleat/wire/users.py
+++ b/src/crosscleat/wire/users.py
@@ -11,8 +11,8 @@
 from ..core.model.ids import Image, JobRef, Team, TypeName, Zone, is_job_ref
 from ..core.model.job_spec import JobSpec, Priority, Shape
 
-MOST_BYTES = 64 * 1024
-MOST_TASKS = 100_000
+MAX_BYTES = 64 * 1024
+MAX_TASKS = 100_000
 
 Amount = Annotated[float, Meta(ge=0.0, le=1e12)]
 Text = Annotated[str, Meta(min_length=1, max_length=200)]
@@ -36,7 +36,7 @@
     crew: str
     shape: Literal["array", "ensemble", "service"]
     urgency: Literal["prod", "urgent", "standard", "low"]
-    picks: Annotated[int, Meta(ge=1, le=MOST_TASKS)]
+    picks: Annotated[int, Meta(ge=1, le=MAX_TASKS)]
     cores: Amount
     gpus: Amount
     memory_gb: Amount
@@ -97,12 +97,12 @@
 
 def _fits(body: bytes) -> bool:
     """The size limit counts JSON, which seldom is more than four times as long."""
-    if len(body) > MOST_BYTES:
+    if len(body) > MAX_BYTES:
         return False
-    if len(body) * 4 <= MOST_BYTES:
+    if len(body) * 4 <= MAX_BYTES:
         return True
     try:
-        return len(msgspec.json.encode(_any_decoder.decode(body))) <= MOST_BYTES
+        return len(msgspec.json.encode(_any_decoder.decode(body))) <= MAX_BYTES
     except (TypeError, ValueError):
         return False
 
--- a/src/crosscleat/wire/workers.py
+++ b/src/crosscleat/wire/workers.py
@@ -7,8 +7,17 @@
 import msgspec
 
 from ..core.model import heartbeats
-from ..core.model.heartbeats import Report, TaskReport
-from ..core.model.ids import Attempt, MachineId, Seen, Session, TaskId, Token, TypeName, Zone
+from ..core.model.heartbeats import Heartbeat, TaskStatus
+from ..core.model.ids import (
+    AgentEpoch,
+    Attempt,
+    HeartbeatId,
+    MachineId,
+    TaskId,
+    Token,
+    TypeName,
+    Zone,
+)
 from ..core.model.worker_calls import ClearOrder, Order, StartOrder
 
 STATES = {
@@ -30,7 +39,7 @@
     saved: Any = None
 
 
-class CheckIn(msgspec.Struct):
+class HeartbeatReceived(msgspec.Struct):
     """The body of POST /checkin, and of every answer of a worker."""
 
     box: str
@@ -45,11 +54,11 @@
     recall_s: float | None = None
 
 
-_decoder = msgspec.msgpack.Decoder(CheckIn)
+_decoder = msgspec.msgpack.Decoder(HeartbeatReceived)
 _encoder = msgspec.msgpack.Encoder()
 
 
-def parse_check_in(body: bytes) -> Report | None:
+def parse_heartbeat(body: bytes) -> Heartbeat | None:
     """A report; None if it is malformed."""
     try:
         raw = _decoder.decode(body)
@@ -61,14 +70,14 @@
         if task is not None:
             state = STATES.get(pick.status, pick.status)
             attempt = Attempt(pick.attempt)
-            tasks.append(TaskReport(task, attempt, state, pick.cause, pick.saved is True))
-    return Report(
+            tasks.append(TaskStatus(task, attempt, state, pick.cause, pick.saved is True))
+    return Heartbeat(
         machine=MachineId(raw.box),
         address=raw.addr,
         type=TypeName(raw.rig),
         zone=Zone(raw.yard),
         spot=raw.loaners,
-        seen=Seen(Session(raw.shift), raw.tally),
+        heartbeat_id=HeartbeatId(AgentEpoch(raw.shift), raw.tally),
         token=raw.baton,
         notice_s=raw.recall_s,
         tasks=tuple(tasks),
@@ -93,8 +102,8 @@
     return _encoder.encode({"baton": token, "orders": [_order(o) for o in orders]})
 
 
-def direct(token: Token, session: Session, orders: tuple[Order, ...]) -> bytes:
+def direct(token: Token, agent_epoch: AgentEpoch, orders: tuple[Order, ...]) -> bytes:
     """Body of POST /do."""
     return _encoder.encode(
-        {"baton": token, "shift": session, "orders": [_order(o) for o in orders]}
+        {"baton": token, "shift": agent_epoch, "orders": [_order(o) for o in orders]}
     )
