--- a/src/crosscleat/adapters/cloud_client.py
+++ b/src/crosscleat/adapters/cloud_client.py
@@ -1,4 +1,4 @@
-"""The client of the cloud."""
+"""The client of the cloud's API: machine types, the machine list, rental and deletion."""
 
 from __future__ import annotations
 
@@ -18,51 +18,49 @@
     Rented,
 )
 from ..wire import cloud as wire
+from .http_calls import HttpEndpoint, HttpResponse
 
 TIMEOUT_S = 5.0
-PAGE = 500
+MACHINES_PER_PAGE = 500
+RETRY_PAUSE_S = 0.5
+"""Before the controller learns of an unclear rental, which it then repeats at once."""
 
 log = logging.getLogger("crosscleat.cloud")
 
 
 class CloudClient:
-    """Calls to the cloud API, within its rate limit."""
+    """Calls to the cloud's API, one request each but for the machine list."""
 
     def __init__(self, session: aiohttp.ClientSession, address: str) -> None:
-        self._session = session
-        self._base = f"http://{address}"
+        self._endpoint = HttpEndpoint(session, address, log)
 
-    async def _call(self, method: str, path: str, body: bytes | None) -> tuple[int, bytes] | None:
-        try:
-            async with asyncio.timeout(TIMEOUT_S):
-                async with self._session.request(method, self._base + path, data=body) as response:
-                    return response.status, await response.read()
-        except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            log.debug("%s %s: no answer (%s)", method, path, error or type(error).__name__)
-            return None
+    async def _request(
+        self, method: str, path: str, body: bytes | None = None
+    ) -> HttpResponse | None:
+        return await self._endpoint.request(method, path, body, TIMEOUT_S)
 
     async def types(self) -> list[MachineType] | None:
-        """The machine types with their present prices; None: no answer."""
-        response = await self._call("GET", "/machine_types", None)
-        if response is None or response[0] != 200:
+        """The machine types with their present prices; None: not known."""
+        response = await self._request("GET", "/machine_types")
+        if response is None or response.status != 200:
             return None
         try:
-            return [rig.kind() for rig in wire.rigs.decode(response[1]).rigs]
+            return [rig.machine_type() for rig in wire.rigs.decode(response.body).rigs]
         except msgspec.DecodeError as error:
             log.error("unreadable machine types: %s", error)
             return None
 
     async def machines(self) -> list[ListedMachine] | None:
-        """The whole machine list, page by page; None: no answer."""
+        """The whole machine list, page by page; None: not known, not even in part."""
         found: list[ListedMachine] = []
         after = ""
         while True:
-            path = f"/rentals?limit={PAGE}" + (f"&after={after}" if after else "")
-            response = await self._call("GET", path, None)
-            if response is None or response[0] != 200:
+            path = f"/rentals?limit={MACHINES_PER_PAGE}" + (f"&after={after}" if after else "")
+            response = await self._request("GET", path)
+            if response is None or response.status != 200:
                 return None
             try:
-                page = wire.boxes.decode(response[1])
+                page = wire.boxes.decode(response.body)
             except msgspec.DecodeError as error:
                 log.error("unreadable machine list: %s", error)
                 return None
@@ -73,25 +71,24 @@
 
     async def rent(self, call: Rent) -> RentalOutcome:
         """Rent machines; unanswered if the request failed, timed out or met an unknown status."""
-        response = await self._call("POST", "/rentals", wire.rent(call))
+        response = await self._request("POST", "/rentals", wire.rent(call))
         if response is None:
             return RentalUnanswered()
-        status, body = response
-        if status == 200:
+        if response.status == 200:
             try:
-                return Rented(wire.hired.decode(body).boxes)
+                return Rented(wire.hired.decode(response.body).boxes)
             except msgspec.DecodeError as error:
                 log.error("unreadable rental: %s", error)
                 return RentalUnanswered()
-        if status == 503 and b"no capacity" in body:
+        if response.status == 503 and b"no capacity" in response.body:
             return RentalRefused()
-        if status == 400:
+        if response.status == 400:
             log.error("rental refused as malformed: %s", call)
             return RentalRefused()
-        await asyncio.sleep(0.5)
+        await asyncio.sleep(RETRY_PAUSE_S)
         return RentalUnanswered()
 
     async def delete(self, call: DeleteMachines) -> bool:
-        """Whether the cloud confirmed that the machines are gone."""
-        response = await self._call("POST", "/rentals/delete", wire.delete(call.machines))
-        return response is not None and response[0] == 200
+        """Whether the cloud confirmed that the machines have been deleted."""
+        response = await self._request("POST", "/rentals/delete", wire.delete(call.machines))
+        return response is not None and response.status == 200
--- a/src/crosscleat/adapters/http_server.py
+++ b/src/crosscleat/adapters/http_server.py
@@ -1,11 +1,10 @@
-"""The HTTP side that users, workers and the load balancer see."""
+"""The HTTP server that users, workers and the load balancer connect to."""
 
 from __future__ import annotations
 
 import asyncio
-import logging
-from collections.abc import Awaitable, Callable
-from typing import Any
+from collections.abc import Callable
+from typing import Any, Protocol
 
 import msgspec
 from aiohttp import web
@@ -16,70 +15,87 @@
 from ..core.model.inputs import CancelJob, QueryJob, RejectJob, SubmitJob
 from ..core.model.job_spec import JobSpec
 from ..wire import users as wire
+from ..wire.workers import HeartbeatReply
 
-BODY_S = 5.0
-WORK_PATH = "/work/"
-ABORT = "/abort"
-
-log = logging.getLogger("crosscleat.http")
+BODY_TIMEOUT_S = 5.0
+JOBS_PATH = "/work"
+JOB_PREFIX = "/work/"
+CANCEL_SUFFIX = "/abort"
+HEARTBEAT_PATH = "/checkin"
+READY_PATH = "/ready"
+RETRY_AFTER_S = 1
+"""Told to users whom the controller did not answer in time."""
 
 UserInput = SubmitJob | QueryJob | CancelJob | RejectJob
-Ask = Callable[[Callable[[int], UserInput]], Awaitable[Response | None]]
-HeartbeatHandler = Callable[[bytes], Awaitable[tuple[int, bytes]]]
 
 _encoder = msgspec.msgpack.Encoder()
 
 
+class HttpService(Protocol):
+    """What a controller does with the requests that come in."""
+
+    async def ask(self, make_input: Callable[[int], UserInput]) -> Response | None:
+        """The answer to a user's request, given its number; None: there was none in time."""
+
+    async def receive_heartbeat(self, body: bytes) -> HeartbeatReply:
+        """Reply to a worker's heartbeat."""
+
+    def ready(self) -> bool:
+        """Whether the load balancer should send users here."""
+
+
 class Connection(RequestHandler):
     """One connection, entered in the server's table of those that are open."""
 
-    def __init__(self, server: web.Server, open_: dict[Connection, None], **options: Any) -> None:
+    def __init__(
+        self, server: web.Server, open_connections: dict[Connection, None], **options: Any
+    ) -> None:
         super().__init__(server, **options)
-        self.open = open_
+        self.open_connections = open_connections
 
-    __slots__ = ("open",)
+    __slots__ = ("open_connections",)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the connection; close the idlest one if there are too many."""
+        """Enter the connection as the one used last."""
         super().connection_made(transport)
-        self.open[self] = None
+        self.open_connections[self] = None
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """The connection has closed."""
-        self.open.pop(self, None)
+        """Remove the connection from the table."""
+        self.open_connections.pop(self, None)
         super().connection_lost(exc)
 
 
 class HttpServer:
-    """One door for all: it tells requests apart, bounds them, and asks the controller."""
+    """Bounds requests in number, length and time, and routes them to the service."""
 
-    def __init__(
-        self, ask: Ask, receive_heartbeat: HeartbeatHandler, ready: Callable[[], bool], most: int
-    ) -> None:
-        self._ready = ready
-        self._ask = ask
-        self._receive_heartbeat = receive_heartbeat
-        self._most = most
+    def __init__(self, service: HttpService, max_connections: int) -> None:
+        self._service = service
+        self._max_connections = max_connections
         self._server = web.Server(self._handle)
         self._open: dict[Connection, None] = {}
+        """In the order of last use."""
         self._busy: set[Connection] = set()
+        """Connections with a request that has not been answered yet."""
 
-    async def start(self, address: str) -> None:
-        """Listen for users and workers."""
+    async def start(self, address: str) -> asyncio.Server:
+        """Listen for users and workers; the caller closes the listener."""
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
-        await loop.create_server(self._protocol, host, int(port), backlog=self._most)
+        return await loop.create_server(
+            self._accept, host, int(port), backlog=self._max_connections
+        )
 
-    def _protocol(self) -> Connection:
-        if len(self._open) >= self._most:
-            self._make_room()
+    def _accept(self) -> Connection:
+        if len(self._open) >= self._max_connections:
+            self._close_longest_idle()
         loop = asyncio.get_running_loop()
         return Connection(self._server, self._open, loop=loop, access_log=None)
 
-    def _make_room(self) -> None:
+    def _close_longest_idle(self) -> None:
         """Close the connection that has been without a request for longest.
 
-        Clients that connect and say nothing must not use up the sockets of all others.
+        Clients that connect and send nothing must not use up the sockets of all others.
         """
         for connection in self._open:
             if connection not in self._busy and connection.transport is not None:
@@ -96,31 +112,34 @@
         finally:
             self._busy.discard(connection)
             if connection in self._open:
-                # The table is kept in the order of last use.
+                # Move it to the end of the table: it was used last.
                 del self._open[connection]
                 self._open[connection] = None
 
     async def _route(self, request: web.BaseRequest) -> web.StreamResponse:
         path = request.path
         method = request.method
-        if path == "/checkin" and method == "POST":
-            body = await _body(request)
-            if body is None:
-                return _closing(400)
-            status, answer = await self._receive_heartbeat(body)
-            return web.Response(status=status, body=answer)
-        if path.startswith(WORK_PATH):
-            return await self._job(request, method, path.removeprefix(WORK_PATH))
-        if path == "/work" and method == "POST":
-            body = await _body(request)
-            if body is None:
-                return _closing(400)
-            return await self._submit(body)
-        if path == "/ready" and method == "GET":
-            return web.Response(status=200 if self._ready() else 503)
+        if path == HEARTBEAT_PATH and method == "POST":
+            return await self._heartbeat(request)
+        if path.startswith(JOB_PREFIX):
+            return await self._job(request, method, path.removeprefix(JOB_PREFIX))
+        if path == JOBS_PATH and method == "POST":
+            return await self._submit(request)
+        if path == READY_PATH and method == "GET":
+            return web.Response(status=200 if self._service.ready() else 503)
         return _closing(404)
 
-    async def _submit(self, body: bytes) -> web.Response:
+    async def _heartbeat(self, request: web.BaseRequest) -> web.Response:
+        body = await _read_body(request)
+        if body is None:
+            return _closing(400)
+        reply = await self._service.receive_heartbeat(body)
+        return web.Response(status=reply.status, body=reply.body)
+
+    async def _submit(self, request: web.BaseRequest) -> web.Response:
+        body = await _read_body(request)
+        if body is None:
+            return _closing(400)
         parsed = wire.parse_work(body)
         if isinstance(parsed, JobSpec):
             spec = parsed
@@ -131,18 +150,18 @@
     async def _job(self, request: web.BaseRequest, method: str, name: str) -> web.Response:
         if method == "GET" and is_job_ref(name):
             return await self._answer(lambda number: QueryJob(number, JobRef(name)))
-        if method == "POST" and name.endswith(ABORT):
-            if await _body(request) is None:
+        if method == "POST" and name.endswith(CANCEL_SUFFIX):
+            if await _read_body(request) is None:
                 return _closing(400)
-            ref = name.removesuffix(ABORT)
+            ref = name.removesuffix(CANCEL_SUFFIX)
             if is_job_ref(ref):
                 return await self._answer(lambda number: CancelJob(number, JobRef(ref)))
         return web.Response(status=404)
 
-    async def _answer(self, make: Callable[[int], UserInput]) -> web.Response:
-        answer = await self._ask(make)
+    async def _answer(self, make_input: Callable[[int], UserInput]) -> web.Response:
+        answer = await self._service.ask(make_input)
         if answer is None:
-            return web.Response(status=503, headers={"Retry-After": "1"})
+            return web.Response(status=503, headers={"Retry-After": str(RETRY_AFTER_S)})
         headers = {}
         if answer.retry_after_s is not None:
             headers["Retry-After"] = str(answer.retry_after_s)
@@ -151,23 +170,23 @@
 
 
 def _closing(status: int) -> web.Response:
-    """An answer after which the connection is closed, since its request was not read to the end."""
+    """A response that closes the connection, since its request was not read to the end."""
     response = web.Response(status=status)
     response.force_close()
     return response
 
 
-async def _body(request: web.BaseRequest) -> bytes | None:
-    """The request's body, unless it is too long or comes too slowly."""
+async def _read_body(request: web.BaseRequest) -> bytes | None:
+    """The request's body; None: it is too long or comes too slowly."""
     if (request.content_length or 0) > wire.MAX_BYTES:
         return None
-    chunks = bytearray()
+    body = bytearray()
     try:
-        async with asyncio.timeout(BODY_S):
+        async with asyncio.timeout(BODY_TIMEOUT_S):
             async for chunk in request.content.iter_any():
-                chunks += chunk
-                if len(chunks) > wire.MAX_BYTES:
+                body += chunk
+                if len(body) > wire.MAX_BYTES:
                     return None
     except TimeoutError:
         return None
-    return bytes(chunks)
+    return bytes(body)
--- a/src/crosscleat/adapters/worker_client.py
+++ b/src/crosscleat/adapters/worker_client.py
@@ -1,4 +1,4 @@
-"""Orders sent straight to a worker."""
+"""Commands and probes sent straight to a worker."""
 
 from __future__ import annotations
 
@@ -7,18 +7,17 @@
 
 import aiohttp
 
-from ..core.model.heartbeats import Heartbeat
 from ..core.model.ids import AgentEpoch, Token
-from ..core.model.worker_calls import DirectCommand
+from ..core.model.worker_calls import DirectCommand, DirectReply
 from ..wire import workers as wire
+from .http_calls import NO_RESPONSE, HttpResponse
 
-CONNECT_S = 0.8
-WAIT_S = 1.5
-"""For a socket of ours to become free, and the connection: what waits longer is never sent."""
-ANSWER_S = 2.0
-TIMEOUT_S = 4.0
-REPORTED = (200, 409)
-"""The answers whose body is the worker's report."""
+CONNECT_TIMEOUT_S = 0.8
+SOCKET_TIMEOUT_S = 1.5
+"""For a free socket and the connection together: what takes longer is never sent."""
+RESPONSE_TIMEOUT_S = 2.0
+TOTAL_TIMEOUT_S = 4.0
+STATUSES_WITH_HEARTBEAT = (200, 409)
 
 log = logging.getLogger("crosscleat.workers")
 
@@ -32,36 +31,36 @@
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self._session = session
         self._timeout = aiohttp.ClientTimeout(
-            connect=WAIT_S, sock_connect=CONNECT_S, sock_read=ANSWER_S
+            connect=SOCKET_TIMEOUT_S, sock_connect=CONNECT_TIMEOUT_S, sock_read=RESPONSE_TIMEOUT_S
         )
 
-    async def _post(self, address: str, body: bytes) -> tuple[int, bytes]:
-        async with asyncio.timeout(TIMEOUT_S):
-            async with self._session.post(
-                f"http://{address}/do", data=body, timeout=self._timeout
-            ) as response:
-                return response.status, await response.read()
-
-    async def probe(self, address: str, token: Token, session: AgentEpoch) -> bytes | None:
-        """The worker's report, unread, by a direct message without orders."""
+    async def probe(self, address: str, token: Token, agent_epoch: AgentEpoch) -> bytes | None:
+        """The worker's status as its body came in, by a message without orders; None: no reply."""
         try:
-            status, answer = await self._post(address, wire.direct(token, session, ()))
-        except (aiohttp.ClientError, OSError, TimeoutError) as error:
+            response = await self._post(address, wire.direct(token, agent_epoch, ()))
+        except NO_RESPONSE as error:
             log.debug("%s: no answer to a probe (%s)", address, error or type(error).__name__)
             return None
-        return answer if status in REPORTED else None
+        return response.body if response.status in STATUSES_WITH_HEARTBEAT else None
 
-    async def direct(self, call: DirectCommand) -> tuple[Heartbeat | None, bool]:
-        """The worker's report; and, without one, whether the orders may still be executed."""
+    async def direct(self, call: DirectCommand) -> DirectReply:
+        """Send the orders; the reply says whether they may have been, or may yet be, executed."""
         body = wire.direct(call.token, call.agent_epoch, call.orders)
         try:
-            status, answer = await self._post(call.address, body)
+            response = await self._post(call.address, body)
         except _NEVER_SENT as error:
             log.debug("%s: not reached (%s)", call.address, error)
-            return None, False
-        except (aiohttp.ClientError, OSError, TimeoutError) as error:
+            return DirectReply(None, may_execute=False)
+        except NO_RESPONSE as error:
             log.debug("%s: no answer (%s)", call.address, error or type(error).__name__)
-            return None, True
-        if status not in REPORTED:
-            return None, status >= 500
-        return wire.parse_heartbeat(answer), True
+            return DirectReply(None, may_execute=True)
+        if response.status not in STATUSES_WITH_HEARTBEAT:
+            return DirectReply(None, may_execute=response.status >= 500)
+        return DirectReply(wire.parse_heartbeat(response.body), may_execute=True)
+
+    async def _post(self, address: str, body: bytes) -> HttpResponse:
+        async with asyncio.timeout(TOTAL_TIMEOUT_S):
+            async with self._session.post(
+                f"http://{address}/do", data=body, timeout=self._timeout
+            ) as response:
+                return HttpResponse(response.status, await response.read())
--- a/src/crosscleat/core/control/commands.py
+++ b/src/crosscleat/core/control/commands.py
@@ -17,6 +17,7 @@
 from ..model.worker_calls import (
     ClearOrder,
     DirectCommand,
+    DirectReply,
     HeartbeatResponse,
     IndirectProbe,
     Order,
@@ -225,23 +226,21 @@
         done = self._when_done(machine, token if starts else NO_TOKEN)
         self._term.outbox.add(DirectCommand(machine.address, token, agent_epoch, orders, done))
 
-    def _when_done(
-        self, machine: Machine, risked: Token
-    ) -> Callable[[Heartbeat | None, bool], None]:
-        def done(heartbeat: Heartbeat | None, perhaps: bool) -> None:
+    def _when_done(self, machine: Machine, risked: Token) -> Callable[[DirectReply], None]:
+        def done(reply: DirectReply) -> None:
             machine.direct_in_flight = False
             if self._term.retired:
                 return
-            if heartbeat is None:
+            if reply.heartbeat is None:
                 machine.direct_misses += 1
                 pause = DIRECT_PAUSE_S * 2.0**machine.direct_misses
                 pause = min(MAX_DIRECT_PAUSE_S, pause)
                 machine.direct_after = Seconds(self._term.now + pause)
                 self._missed(machine)
-                if perhaps:
+                if reply.may_execute:
                     machine.pending_start_token = max(machine.pending_start_token, risked)
                 return
             machine.direct_misses = 0
-            self._answered(machine, heartbeat)
+            self._answered(machine, reply.heartbeat)
 
         return done
--- /dev/null
+++ b/src/crosscleat/runtime/clients.py
@@ -0,0 +1,44 @@
+"""The clients of the services that the controller calls."""
+
+from __future__ import annotations
+
+from contextlib import AsyncExitStack
+from dataclasses import dataclass
+from random import Random
+
+from ..adapters.cloud_client import CloudClient
+from ..adapters.state_client import StateClient
+from ..adapters.worker_client import WorkerClient
+from ..settings import Settings
+from .sockets import SocketBudget, client_session
+
+
+@dataclass(frozen=True, slots=True)
+class Clients:
+    """One client for each service, each with sockets of its own."""
+
+    state: StateClient
+    cloud: CloudClient
+    workers: WorkerClient
+
+    @classmethod
+    async def open(
+        cls, stack: AsyncExitStack, settings: Settings, sockets: SocketBudget, rng: Random
+    ) -> Clients:
+        """Open the sessions; the stack closes them, the last one first."""
+        limits = settings.settings.state.tighter()
+        store_session = await stack.enter_async_context(client_session(sockets.store))
+        cloud_session = await stack.enter_async_context(client_session(sockets.cloud))
+        worker_session = await stack.enter_async_context(client_session(sockets.workers))
+        return cls(
+            StateClient(
+                store_session,
+                settings.endpoints.state,
+                limits.rps,
+                limits.write_rps,
+                limits.txn_ops,
+                rng,
+            ),
+            CloudClient(cloud_session, settings.endpoints.cloud),
+            WorkerClient(worker_session),
+        )
--- /dev/null
+++ b/src/crosscleat/runtime/requests.py
@@ -0,0 +1,46 @@
+"""Requests that wait for the controller's answer."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from ..core.model.effects import Response
+from ..core.model.inputs import Input
+from ..core.model.worker_calls import HeartbeatResponse
+
+Answer = Response | HeartbeatResponse
+
+
+class PendingRequests:
+    """Requests from outside, by the number under which the controller answers them."""
+
+    def __init__(self) -> None:
+        self._futures: dict[int, asyncio.Future[Answer]] = {}
+        self._last_number = 0
+
+    def complete(self, answer: Answer) -> None:
+        """Pass on an answer; one that nobody waits for any more is dropped."""
+        future = self._futures.pop(answer.request, None)
+        if future is not None and not future.done():
+            future.set_result(answer)
+
+    async def ask(
+        self, step: Callable[[Input], None], make_input: Callable[[int], Input], timeout_s: float
+    ) -> Answer | None:
+        """Give the controller the input made for a new number; None: no answer in time."""
+        self._last_number += 1
+        number = self._last_number
+        future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        self._futures[number] = future
+        step(make_input(number))
+        if future.done():
+            # Most heartbeats are answered within the step: no timer is set for those.
+            return future.result()
+        try:
+            async with asyncio.timeout(timeout_s):
+                return await future
+        except TimeoutError:
+            return None
+        finally:
+            self._futures.pop(number, None)
--- a/src/crosscleat/wire/cloud.py
+++ b/src/crosscleat/wire/cloud.py
@@ -23,7 +23,7 @@
     pull_gb_per_s: float = 1.0
     ready_s: float = 60.0
 
-    def kind(self) -> MachineType:
+    def machine_type(self) -> MachineType:
         """As the core knows it."""
         return MachineType(
             name=TypeName(self.sku),
--- a/src/crosscleat/wire/peers.py
+++ b/src/crosscleat/wire/peers.py
@@ -81,7 +81,7 @@
     | ProbeReply
 )
 
-Told = Counts | ShardRequest | ShardProposed | IndirectProbe | ProbeReply
+OneWayMessage = Counts | ShardRequest | ShardProposed | IndirectProbe | ProbeReply
 """What needs no answer on the same link."""
 
 _decoder = msgspec.msgpack.Decoder(Message)
--- a/src/crosscleat/wire/workers.py
+++ b/src/crosscleat/wire/workers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -54,6 +54,17 @@
     recall_s: float | None = None
 
 
+class HeartbeatReply(NamedTuple):
+    """The HTTP answer to a heartbeat, made here or by the peer to which it was relayed."""
+
+    status: int
+    body: bytes
+
+
+MALFORMED = HeartbeatReply(400, b"")
+UNAVAILABLE = HeartbeatReply(503, b"")
+"""Neither this controller nor a peer that it reaches leads: the worker tries another one."""
+
 _decoder = msgspec.msgpack.Decoder(HeartbeatReceived)
 _encoder = msgspec.msgpack.Encoder()
 
