--- a/src/crosscleat/runtime/driver.py
+++ b/src/crosscleat/runtime/driver.py
@@ -16,7 +16,6 @@
 from ..core.model.effects import (
     BroadcastProgress,
     Delay,
-    Effect,
     LogRecord,
     ProposeShard,
     Response,
@@ -61,14 +60,11 @@
     def step(self, event: Input) -> None:
         """Give the controller one input and carry out, in order, what it asks for."""
         for effect in self._controller.step(event, clock.steady(), clock.wall()):
-            self._carry_out(effect)
+            self._handlers[type(effect)](effect)
 
-    async def ask(self, make_input: Callable[[int], Input], timeout_s: float) -> Answer | None:
+    def ask(self, make_input: Callable[[int], Input], timeout_s: float) -> Awaitable[Answer | None]:
         """The controller's answer to one request; None: there was none in time."""
-        return await self._requests.ask(self.step, make_input, timeout_s)
-
-    def _carry_out(self, effect: Effect) -> None:
-        self._handlers[type(effect)](effect)
+        return self._requests.ask(self.step, make_input, timeout_s)
 
     def _start_call(self, client_method: Callable[[Any], Awaitable[Any]], call: Any) -> None:
         self._tasks.start(self._call(client_method, call))
--- a/src/crosscleat/wire/workers.py
+++ b/src/crosscleat/wire/workers.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple
+from typing import Any
 
 import msgspec
 
@@ -57,7 +57,7 @@
     recall_s: float | None = None
 
 
-class HeartbeatReply(NamedTuple):
+class HeartbeatReply(msgspec.Struct, frozen=True):
     """The HTTP answer to a heartbeat, made here or by the peer to which it was relayed."""
 
     status: int
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -104,3 +104,27 @@
     assert named
     assert {name for name in named if not any(m.endswith(f"/{name}") for m in modules)} == set()
     assert {name for name in folders if not any(p.endswith(f"/{name}") for p in packages)} == set()
+
+
+@pytest.mark.parametrize(
+    ("package", "allowed"),
+    [
+        ("adapters", {"adapters", "core", "wire"}),
+        ("runtime", {"runtime", "adapters", "core", "wire", "settings"}),
+    ],
+)
+def test_what_surrounds_the_core_imports_what_its_package_says(
+    package: str, allowed: set[str]
+) -> None:
+    imports = {
+        path.name: {parts[0] for parts in imported_modules(path)} - allowed
+        for path in files_below(package)
+    }
+
+    assert {name: found for name, found in imports.items() if found} == {}
+
+
+def test_adapters_depend_on_the_model_and_not_on_decisions() -> None:
+    packages = {path.name: core_packages(path) - {"model"} for path in files_below("adapters")}
+
+    assert {name: found for name, found in packages.items() if found} == {}
