--- a/src/crosscleat/core/capacity/capacity_targets.py
+++ b/src/crosscleat/core/capacity/capacity_targets.py
@@ -1,4 +1,4 @@
-"""How much capacity to keep ready for work that has not come yet."""
+"""Targets for the capacity that is kept ready for future work."""
 
 from __future__ import annotations
 
@@ -14,67 +14,67 @@
 
 @dataclass(frozen=True, slots=True)
 class CapacityUse:
-    """What is in use, and the CPUs that special kinds of work use or wait for."""
+    """CPUs and GPUs in use, and CPUs that certain classes of work use or wait for."""
 
-    by_team: Mapping[str, float] = field(default_factory=dict)
-    """CPUs in use, by every team's allocations."""
+    cpus_by_team: Mapping[str, float] = field(default_factory=dict)
+    """CPUs in use by the allocations of each team."""
     gpus_by_team: Mapping[str, float] = field(default_factory=dict)
-    """GPUs in use, by every team's allocations."""
+    """GPUs in use by the allocations of each team."""
     job_zones: Mapping[str, Mapping[Zone, int]] = field(default_factory=dict)
-    """How many tasks of each job may be in which zone."""
-    at_risk: float = 0.0
-    """In use or waited for by jobs that the loss of a spot machine may make late."""
-    on_demand_only: float = 0.0
-    """In use or waited for by jobs that may not use spot machines."""
-    backfill: float = 0.0
-    """In use by backfill: no capacity is kept for it."""
+    """Number of tasks that may be running in each zone, for each job."""
+    at_risk_cpus: float = 0.0
+    """CPUs used or waited for by jobs that the loss of a spot machine may make late."""
+    on_demand_only_cpus: float = 0.0
+    """CPUs used or waited for by jobs that may not use spot machines."""
+    backfill_cpus: float = 0.0
+    """CPUs in use by backfill, for which no capacity is kept ready."""
 
 
 class CapacityTargets:
-    """Sizes the warm capacity and the on-demand reserve by the demand of the last minutes."""
+    """Computes the warm capacity and the on-demand reserve from the demand of the last minutes."""
 
     def __init__(self, tuning: TuningOptions) -> None:
         self._tuning = tuning
         self.demand = Demand()
-        """Of all work but backfill."""
+        """Demand of all work except backfill."""
         self.at_risk = Demand()
-        """Of jobs that the loss of a spot machine may make late."""
+        """Demand of jobs that the loss of a spot machine may make late."""
         self.on_demand_only = Demand()
-        """Of jobs that may not use spot machines."""
+        """Demand of jobs that may not use spot machines."""
 
     def record_arrival(self, job: Job, now: Seconds) -> None:
-        """Count an arrived job in the demand that capacity is kept for."""
+        """Record the size of an arrived job that is urgent or may not use spot machines."""
         if job.spec.priority >= Priority.HIGH:
             self.demand.record_job(job, now)
         if not job.spec.spot:
             self.on_demand_only.record_job(job, now)
 
     def sample(self, requested_cpus: float, use: CapacityUse, now: Seconds) -> None:
-        """Record the present demand; `requested_cpus` are in use or waited for."""
+        """Record the current demand; `requested_cpus` are in use or waited for."""
         self.demand.sample(requested_cpus, now)
-        self.at_risk.sample(use.at_risk, now)
-        self.on_demand_only.sample(use.on_demand_only, now)
+        self.at_risk.sample(use.at_risk_cpus, now)
+        self.on_demand_only.sample(use.on_demand_only_cpus, now)
 
     def warm_cpus(self) -> float:
-        """Capacity to keep in all: the mean demand, and its variation or a large urgent job.
+        """Total capacity to keep: the mean demand, plus its variation or a large urgent job.
 
-        Not the present demand: a machine rented for a burst is up when most of it has passed,
-        and costs at least a minute.
+        The current demand is not used: by the time that a machine rented for a burst is up, most
+        of the burst has passed, and the machine costs at least a minute.
         """
         return self._warm(self.demand, self.demand.mean())
 
     def spare_cpus(self) -> float:
-        """Capacity beside the mean demand, for its variation."""
+        """The part of `warm_cpus` that exceeds the mean demand."""
         return self._spare(self.demand, self.demand.mean())
 
     def on_demand_cpus(self, now: Seconds) -> float:
         """Capacity to keep on on-demand machines.
 
-        That is the base load of jobs at risk, and for jobs that may not use others their mean
-        demand and its variation, as the warm capacity holds them for all work.
+        It is the base load of jobs at risk, plus the usual demand of jobs that may not use spot
+        machines and its variation. The variation is computed as for the warm capacity.
         """
-        usual = max(self.on_demand_only.mean(), self.on_demand_only.recent_mean(now))
-        return self.at_risk.base_load(now) + self._warm(self.on_demand_only, usual)
+        usual_cpus = max(self.on_demand_only.mean(), self.on_demand_only.recent_mean(now))
+        return self.at_risk.base_load(now) + self._warm(self.on_demand_only, usual_cpus)
 
     def _warm(self, demand: Demand, usual_cpus: float) -> float:
         return usual_cpus + self._spare(demand, usual_cpus)
--- a/src/crosscleat/core/capacity/decommissioning.py
+++ b/src/crosscleat/core/capacity/decommissioning.py
@@ -1,4 +1,7 @@
-"""The decision to return a machine to the cloud; `deletions` deletes it once that is on record."""
+"""The decision to return a machine to the cloud.
+
+`deletions` deletes the machine once the store has a record of the decision.
+"""
 
 from __future__ import annotations
 
@@ -9,21 +12,21 @@
 
 
 class WriteRequests(Protocol):
-    """Is told that something has to be written (`control.pending_work.PendingWork`)."""
+    """Accepts requests to write to the store (`control.pending_work.PendingWork`)."""
 
     def write_soon(self) -> None:
-        """Something is to be written with the next transaction."""
+        """Have pending changes written with the next transaction."""
 
 
 class Decommissioner:
-    """Decides decommissions: a machine is never taken back into use after one."""
+    """Marks machines for deletion; a decommissioned machine is never put back into use."""
 
     def __init__(self, term: LeadingTerm, writes: WriteRequests) -> None:
         self._term = term
         self._writes = writes
 
     def decommission(self, machine: Machine, reason: str) -> None:
-        """Decide to delete the machine: the decision is recorded first, and then final."""
+        """Decide to delete the machine; once the store has a record of the decision it is final."""
         if not machine.decommissioning:
             machine.decommissioning = True
             self._writes.write_soon()
--- a/src/crosscleat/core/capacity/deletions.py
+++ b/src/crosscleat/core/capacity/deletions.py
@@ -1,4 +1,4 @@
-"""Deleting decommissioned machines, and forgetting them in time."""
+"""Deletes decommissioned machines, and later removes what is kept about them."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 from .machines import Machines
 
 DECOMMISSION_RECORD_S = 120.0
-"""For so long the store names a deleted machine, so that a successor knows of the decision."""
+"""Time in seconds that the store names a deleted machine, so that a new leader knows of it."""
 
-MAX_DELETED = 100
-"""Machines of one deletion call."""
+MAX_PER_DELETION = 100
+"""Maximum number of machines in one deletion call."""
 
-REPEAT_S = 4.0
-"""A deletion without an answer is repeated after this time."""
+RETRY_S = 4.0
+"""Seconds after which a deletion without an answer is sent again."""
 
-REPEAT_FAILED_S = 1.0
-"""The same if the cloud refused it or could not be reached."""
+RETRY_FAILED_S = 1.0
+"""The same if the cloud refused the deletion or could not be reached."""
 
 
-class SilenceRecord(Protocol):
-    """Remembers which machines were deleted for their silence (`control.liveness.Liveness`)."""
+class SilenceDeletions(Protocol):
+    """Records machines that were deleted for their silence (`control.liveness.Liveness`)."""
 
-    def given_up(self, machine: Machine, now: Seconds) -> None:
-        """The machine was deleted for its silence."""
+    def record_silence_deletion(self, machine: Machine, now: Seconds) -> None:
+        """Record that the machine was deleted for its silence."""
 
 
 class Deletions:
-    """Has machines deleted whose decommission is on record, and cleans up after them."""
+    """Deletes machines whose decommission is recorded, and cleans up after their deletion."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         machines: Machines,
         records: DecommissionRecords,
         attempts: AttemptEnds,
-        liveness: SilenceRecord,
+        liveness: SilenceDeletions,
         interruptions: InterruptionStats,
     ) -> None:
         self._term = term
@@ -55,58 +55,63 @@
         self._attempts = attempts
         self._liveness = liveness
         self._interruptions = interruptions
-        self._recorded: deque[tuple[Seconds, MachineId]] = deque()
-        """When machines were deleted that the store still names; the oldest first."""
+        self._recorded_deletions: deque[tuple[Seconds, MachineId]] = deque()
+        """Deletion times of machines that the store still names, oldest first."""
 
     def delete_recorded(self, now: Seconds) -> None:
-        """Have machines deleted whose decommission is on record."""
+        """Request the deletion of machines whose decommission the store has recorded."""
         ready = [
             machine
             for machine in self._cluster.machines.values()
             if machine.decommission_recorded
-            and (machine.deletion_sent_at is None or now - machine.deletion_sent_at > REPEAT_S)
-        ][:MAX_DELETED]
+            and (machine.deletion_sent_at is None or now - machine.deletion_sent_at > RETRY_S)
+        ][:MAX_PER_DELETION]
         if not ready:
             return
         for machine in ready:
             machine.deletion_sent_at = now
-        names = tuple(machine.id for machine in ready)
-        self._term.outbox.add(DeleteMachines(names, lambda done: self._receive(ready, done)))
+        ids = tuple(machine.id for machine in ready)
+        self._term.outbox.add(
+            DeleteMachines(ids, lambda confirmed: self._receive_answer(ready, confirmed))
+        )
 
-    def _receive(self, machines: list[Machine], done: bool) -> None:
-        """The cloud confirmed that the machines are deleted, or not."""
+    def _receive_answer(self, machines: list[Machine], confirmed: bool) -> None:
+        """Handle the cloud's answer: whether it confirmed the deletion of the machines."""
         if self._term.retired:
             return
         now = self._term.now
         for machine in machines:
-            if done:
-                self._confirmed(machine, now)
+            if confirmed:
+                self._clean_up(machine, now)
             else:
-                machine.deletion_sent_at = Seconds(now - (REPEAT_S - REPEAT_FAILED_S))
+                machine.deletion_sent_at = Seconds(now - (RETRY_S - RETRY_FAILED_S))
 
-    def _confirmed(self, machine: Machine, now: Seconds) -> None:
+    def _clean_up(self, machine: Machine, now: Seconds) -> None:
+        """End the attempts of a machine that is deleted, and remove it from the cluster."""
         for allocation in list(machine.allocations.values()):
             self._attempts.ended(machine, allocation)
         if machine.deleted_for_silence:
-            self._liveness.given_up(machine, now)
+            self._liveness.record_silence_deletion(machine, now)
             if machine.spot:
                 self._interruptions.record_interruption()
         self._machines.remove_deleted(machine)
-        self._recorded.append((now, machine.id))
+        self._recorded_deletions.append((now, machine.id))
 
     def forget_old(self, now: Seconds, writing: bool) -> list[tuple[str, Version]]:
-        """Forget what was deleted long ago; the keys and versions of records to be removed.
+        """Forget machines that were deleted long ago.
 
-        Nothing is removed from records while a transaction is being written: it may change them.
+        Returns the keys and versions of the records that are empty now, to be removed from the
+        store. While a transaction is being written (`writing`) the records are left as they are,
+        as the transaction may change them.
         """
         self._machines.forget_old_tombstones(now)
-        obsolete: list[tuple[str, Version]] = []
-        while not writing and self._recorded:
-            deleted_at, machine_id = self._recorded[0]
+        empty_records: list[tuple[str, Version]] = []
+        while not writing and self._recorded_deletions:
+            deleted_at, machine_id = self._recorded_deletions[0]
             if now - deleted_at <= DECOMMISSION_RECORD_S:
                 break
-            self._recorded.popleft()
+            self._recorded_deletions.popleft()
             empty = self._records.remove_name(machine_id)
             if empty is not None and empty.version:
-                obsolete.append((empty.key, empty.version))
-        return obsolete
+                empty_records.append((empty.key, empty.version))
+        return empty_records
--- a/src/crosscleat/core/capacity/fleet.py
+++ b/src/crosscleat/core/capacity/fleet.py
@@ -1,4 +1,4 @@
-"""Which machines to rent next, and which to return."""
+"""Decides which machines to rent next and which to return."""
 
 from __future__ import annotations
 
@@ -14,48 +14,50 @@
 from ..state.machine import Machine
 from .capacity_targets import CapacityTargets, CapacityUse
 from .pool_catalog import (
-    MAX_WAIT_S,
+    OVERDUE_WAIT_S,
     CompletionEstimates,
     PoolCatalog,
-    only_cheap_capacity,
     price_per_cpu,
+    uses_only_cheap_capacity,
 )
 from .pools import MAX_PER_RENTAL, PoolKey, ScaleOutRequest
 from .unplaced_work import UnplacedTasks, WaitingWork, find_unplaced_work
-from .waiting_reasons import HOPELESS, WaitingReason, WaitingReport
+from .waiting_reasons import INDEFINITE_REASONS, WaitingReason, WaitingReport
 
-MAX_PRICED = 100
-"""Waiting jobs, the most urgent first, for which one rental looks for the cheapest machines."""
+MAX_PRICED_JOBS = 100
+"""Maximum number of waiting jobs, most urgent first, whose cheapest pools one rental compares."""
 
 OVERLOAD_SHARE = 0.5
-"""Unplaced work over this share of the capacity is more than a burst that passes by itself."""
+"""Unplaced work above this share of the capacity is more than a burst that passes by itself."""
 
-PATIENCE_BOOT_SHARE = 0.5
-"""A job waits for free capacity for this share of the shortest boot of a suitable machine, ..."""
+MAX_WAIT_BOOT_SHARE = 0.5
+"""A job waits for free capacity for at most this share of the shortest boot time of a suitable
+machine."""
 
-PATIENCE_SLACK_SHARE = 0.2
-"""... or for this share of the time that its completion target leaves beside its run."""
+MAX_WAIT_SLACK_SHARE = 0.2
+"""A job waits for free capacity for at most this share of its slack, which is its completion target
+less its estimated run time."""
 
 EXPENSIVE_IDLE_S = 4.0
-"""An expensive machine that is idle for so long is returned."""
+"""Idle time in seconds after which an expensive machine is returned."""
 
 USUAL_BOOT_FACTOR = 1.5
-"""The longest usual boot, as a multiple of what the machine type says."""
+"""Longest usual boot time, as a multiple of the boot time of the machine type."""
 
 BOOT_SLACK_S = 2.0
-"""For the rental request itself and the first heartbeat."""
+"""Seconds added to the longest usual boot time for the rental request and the first heartbeat."""
 
 MIN_CHARGE_S = 60.0
-"""A machine that is deleted costs at least as much as for this time."""
+"""Minimum time in seconds that is charged for a machine, even if it is deleted earlier."""
 
 
 def on_demand_cpus(machines: Iterable[Machine]) -> float:
-    """CPUs of the machines that the cloud does not reclaim."""
+    """CPUs of the on-demand machines, which the cloud does not reclaim."""
     return sum(machine.type.cpus for machine in machines if not machine.spot)
 
 
 class Fleet:
-    """Decides on rentals and returns, by the demand and by what the pools have shown."""
+    """Decides on rentals and returns by the demand and by the results of past rentals."""
 
     def __init__(
         self,
@@ -63,14 +65,14 @@
         types: dict[TypeName, MachineType],
         estimates: CompletionEstimates,
     ) -> None:
-        """`types` may change later, as prices do; it may be empty at first."""
+        """`types` is updated in place when prices change, and may be empty at first."""
         self._tuning = tuning
         self._estimates = estimates
         self.types = types
         self.catalog = PoolCatalog(types, estimates)
         self.targets = CapacityTargets(tuning)
         self._held_for_gangs: frozenset[MachineId] = frozenset()
-        """Machines with free capacity that a gang counts on until it has the rest."""
+        """Machines with free capacity for a part of a waiting gang, kept until it has the rest."""
 
     # Scaling out
 
@@ -83,18 +85,18 @@
         now: Seconds,
         report: WaitingReport | None = None,
     ) -> ScaleOutRequest | None:
-        """The one rental to request now, if any; also takes a sample of the demand.
+        """The rental to request now, or None; also records a sample of the demand.
 
-        Waiting work comes first, then the warm capacity, then the on-demand reserve. `report` is
-        told for which tasks nothing is rented, and why.
+        Waiting work comes first, then the warm capacity, then the on-demand reserve. `report`
+        receives the tasks for which nothing is rented, with the reasons.
         """
         report = report or WaitingReport(now, wanted=False)
         usable = [machine for machine in machines if _counts_as_capacity(machine, now)]
         work = find_unplaced_work(jobs, usable, teams, use, report)
         self.targets.sample(work.requested_cpus, use, now)
         capacity = sum(machine.type.cpus for machine in usable)
-        impatient = self._impatient(work, usable, capacity, now, report)
-        for_unplaced = self._for_unplaced(work, impatient, now, report)
+        needing_machines = self._tasks_needing_machines(work, usable, capacity, now, report)
+        for_unplaced = self._for_unplaced(work, needing_machines, now, report)
         self._held_for_gangs = work.machines_of_gangs()
         return (
             for_unplaced
@@ -102,7 +104,7 @@
             or self._for_on_demand_reserve(on_demand_cpus(usable), now)
         )
 
-    def _impatient(
+    def _tasks_needing_machines(
         self,
         work: WaitingWork,
         usable: list[Machine],
@@ -110,93 +112,104 @@
         now: Seconds,
         report: WaitingReport,
     ) -> list[UnplacedTasks]:
-        """The unplaced tasks that machines are rented for: those that can't wait for others' end.
+        """The unplaced tasks to rent machines for, instead of waiting for other tasks to end.
 
-        With far more work than capacity, as at the start of a day, that is all of them.
+        These are all tasks if there is far more work than capacity, as at the start of a day.
         """
         overload = work.lacking_cpus() > OVERLOAD_SHARE * capacity
         if overload:
             return work.unplaced
-        kinds = {(one.type.name, one.zone, one.spot): one for one in usable}
-        found = []
+        kinds = {(machine.type.name, machine.zone, machine.spot): machine for machine in usable}
+        needing_machines = []
         for unplaced in work.unplaced:
-            if self._is_impatient(unplaced.job, kinds.values(), work.zones, now):
-                found.append(unplaced)
+            if self._needs_machines(unplaced.job, kinds.values(), work.zones, now):
+                needing_machines.append(unplaced)
             else:
-                report.add(unplaced.job, unplaced.tasks, WaitingReason.PATIENT)
-        return found
+                report.add(unplaced.job, unplaced.tasks, WaitingReason.AWAITS_OTHER_TASKS)
+        return needing_machines
 
-    def _is_impatient(
+    def _needs_machines(
         self, job: Job, kinds: Collection[Machine], zones: ZoneLimits, now: Seconds
     ) -> bool:
-        """Whether it has waited for too long, or none of the machines can ever hold its tasks.
+        """Whether the job has waited for too long, or no rented machine can ever run its tasks.
 
-        A gang needs capacity for all its tasks at one time, which seldom becomes free by itself.
-        `kinds` are one machine of each type, zone and market.
+        It is true of every gang: a gang needs capacity for all its tasks at the same time, which
+        seldom becomes free by itself. `kinds` has one machine of each type, zone and market (spot
+        or on-demand).
         """
         spec = job.spec
         if job.is_gang:
             return True
         if not any(
-            one.type.has_capacity_for(spec) and one.allows(spec) and zones.admits(spec, one.zone)
-            for one in kinds
+            machine.type.has_capacity_for(spec)
+            and machine.allows(spec)
+            and zones.admits(spec, machine.zone)
+            for machine in kinds
         ):
             return True
         boot_s = min(
-            (found.boot_s for found in self.types.values() if found.has_capacity_for(spec)),
+            (
+                machine_type.boot_s
+                for machine_type in self.types.values()
+                if machine_type.has_capacity_for(spec)
+            ),
             default=0.0,
         )
         slack_s = max(0.0, self._estimates.completion_target_s(spec) - spec.estimate_s)
-        patience_s = min(PATIENCE_BOOT_SHARE * boot_s, PATIENCE_SLACK_SHARE * slack_s)
-        return now - job.submitted > patience_s
+        max_wait_s = min(MAX_WAIT_BOOT_SHARE * boot_s, MAX_WAIT_SLACK_SHARE * slack_s)
+        return now - job.submitted > max_wait_s
 
     def _for_unplaced(
-        self, work: WaitingWork, impatient: list[UnplacedTasks], now: Seconds, report: WaitingReport
+        self,
+        work: WaitingWork,
+        needing_machines: list[UnplacedTasks],
+        now: Seconds,
+        report: WaitingReport,
     ) -> ScaleOutRequest | None:
-        """Machines of the most urgent job's cheapest pool, for all whose cheapest it is."""
+        """A rental from the most urgent job's cheapest pool, for all jobs whose cheapest it is."""
         pool: PoolKey | None = None
-        machines = 0.0
+        machine_count = 0.0
         overdue = False
-        for unplaced in impatient[:MAX_PRICED]:
+        for unplaced in needing_machines[:MAX_PRICED_JOBS]:
             job, tasks = unplaced
             offer = self.catalog.cheapest_for_job(unplaced, work.zones, now)
             if isinstance(offer, WaitingReason):
                 report.add(job, tasks, offer)
-                if offer in HOPELESS:
+                if offer in INDEFINITE_REASONS:
                     work.gang_machines.pop(job.ref, None)
             elif pool in (None, offer.pool):
                 pool = offer.pool
-                machines += min(tasks, offer.max_tasks) / offer.tasks_per_machine
+                machine_count += min(tasks, offer.max_tasks) / offer.tasks_per_machine
                 overdue = overdue or (
-                    now - job.submitted > MAX_WAIT_S and not only_cheap_capacity(job)
+                    now - job.submitted > OVERDUE_WAIT_S and not uses_only_cheap_capacity(job)
                 )
             else:
-                report.add(job, tasks, WaitingReason.NOT_FIRST)
-        for unplaced in impatient[MAX_PRICED:]:
-            report.add(unplaced.job, unplaced.tasks, WaitingReason.NOT_FIRST)
+                report.add(job, tasks, WaitingReason.OTHER_RENTAL_FIRST)
+        for unplaced in needing_machines[MAX_PRICED_JOBS:]:
+            report.add(unplaced.job, unplaced.tasks, WaitingReason.OTHER_RENTAL_FIRST)
         if pool is None:
             return None
-        return ScaleOutRequest(pool, min(MAX_PER_RENTAL, math.ceil(machines)), overdue)
+        return ScaleOutRequest(pool, min(MAX_PER_RENTAL, math.ceil(machine_count)), overdue)
 
     def _for_warm_capacity(self, capacity: float, now: Seconds) -> ScaleOutRequest | None:
-        """Capacity for the usual demand, kept ready on inexpensive machines.
+        """A rental that keeps capacity ready for the usual demand, on inexpensive machines.
 
-        Expensive ones only make up for what those can't hold of the sustained demand.
+        If there is none, expensive machines are rented, but only for the sustained demand.
         """
-        found = self.catalog.cheapest_capacity(
+        request = self.catalog.cheapest_capacity(
             self.targets.warm_cpus() - capacity,
             now,
             lambda machine_type, key: not self.catalog.is_expensive(machine_type, key.spot),
         )
-        return found or self.catalog.cheapest_capacity(
+        return request or self.catalog.cheapest_capacity(
             self.targets.demand.sustained(now) - capacity,
             now,
             lambda machine_type, key: self.catalog.is_expensive(machine_type, key.spot),
         )
 
-    def _for_on_demand_reserve(self, reserve: float, now: Seconds) -> ScaleOutRequest | None:
-        """On-demand machines for the usual demand of work that needs them."""
-        lacking = self.targets.on_demand_cpus(now) - reserve
+    def _for_on_demand_reserve(self, present_cpus: float, now: Seconds) -> ScaleOutRequest | None:
+        """A rental of on-demand machines for the usual demand of work that needs them."""
+        lacking = self.targets.on_demand_cpus(now) - present_cpus
         return self.catalog.cheapest_capacity(lacking, now, lambda _, key: not key.spot)
 
     # Scaling in
@@ -204,15 +217,15 @@
     def scale_in_candidates(
         self, machines: Iterable[Machine], teams: dict[Team, TeamLimits], now: Seconds
     ) -> list[Machine]:
-        """Machines that no waiting gang, warm capacity or on-demand reserve needs.
+        """Machines to return, the most expensive first.
 
-        The most expensive come first. They are idle, or expensive and kept in use by backfill
-        alone.
+        They are idle, or expensive and in use by backfill alone, and neither a waiting gang nor
+        the warm capacity nor the on-demand reserve needs them.
         """
         usable = [
-            one
-            for one in machines
-            if one.has_sent_heartbeat and not one.decommissioning and not one.surplus
+            machine
+            for machine in machines
+            if machine.has_sent_heartbeat and not machine.decommissioning and not machine.surplus
         ]
         capacity = sum(machine.type.cpus for machine in usable)
         unneeded = sorted(
@@ -224,29 +237,33 @@
             ),
             key=lambda machine: -price_per_cpu(machine.type, machine.spot),
         )
-        found = []
+        candidates = []
         sustained = self.targets.demand.sustained(now)
         warm = self.targets.warm_cpus()
         reserve_excess = on_demand_cpus(usable) - self.targets.on_demand_cpus(now)
         for machine in unneeded:
             cpus = machine.type.cpus
             target = sustained if self._is_expensive(machine) else warm
-            paid = now - machine.created_at >= MIN_CHARGE_S
+            min_charge_used = now - machine.created_at >= MIN_CHARGE_S
             if not machine.spot and reserve_excess < cpus:
                 continue
-            if paid and self._idle_long_enough(machine, now) and capacity - cpus >= target:
+            if (
+                min_charge_used
+                and self._idle_long_enough(machine, now)
+                and capacity - cpus >= target
+            ):
                 capacity -= cpus
                 reserve_excess -= 0.0 if machine.spot else cpus
-                found.append(machine)
-        return found
+                candidates.append(machine)
+        return candidates
 
     def _idle_long_enough(self, machine: Machine, now: Seconds) -> bool:
-        """Whether it has been idle for long enough, if it is idle."""
-        patience_s = EXPENSIVE_IDLE_S if self._is_expensive(machine) else self._tuning.idle_return_s
-        return machine.idle_since is None or now - machine.idle_since >= patience_s
+        """Whether the machine is busy, or has been idle for long enough to be returned."""
+        min_idle_s = EXPENSIVE_IDLE_S if self._is_expensive(machine) else self._tuning.idle_return_s
+        return machine.idle_since is None or now - machine.idle_since >= min_idle_s
 
     def _only_backfill(self, machine: Machine, teams: dict[Team, TeamLimits], now: Seconds) -> bool:
-        """Whether it is expensive, and runs only backfill whose start counts for its user."""
+        """Whether it is expensive and runs only backfill whose start counts for its user."""
         return (
             bool(machine.allocations)
             and self._is_expensive(machine)
@@ -263,9 +280,9 @@
 
 
 def _counts_as_capacity(machine: Machine, now: Seconds) -> bool:
-    """Whether work may wait for it: it is up, or is to come up within the usual time.
+    """Whether waiting work may count on the machine: it is up, or still within the usual boot time.
 
-    A boot that takes longer may take several times as long.
+    A boot that takes longer than usual may take several times as long.
     """
     if machine.decommissioning or machine.draining:
         return False
--- a/src/crosscleat/core/capacity/interruptions.py
+++ b/src/crosscleat/core/capacity/interruptions.py
@@ -1,4 +1,4 @@
-"""How often spot machines are reclaimed, and which jobs one such loss would make late."""
+"""The rate at which spot machines are reclaimed, and the jobs that a loss would make late."""
 
 from __future__ import annotations
 
@@ -10,42 +10,45 @@
 from ..state.jobs import Job
 
 PRIOR_UPTIME_S = 1800.0
+"""Weight of the prior rate: as if one machine had been observed for this time."""
 
 PRIOR_RATE_PER_S = 1.0 / HOUR_S
-"""The rate until more was observed: one an hour, as if seen on one machine for half an hour."""
+"""Rate that is assumed until more has been observed: one interruption per machine and hour."""
 
-MAX_AT_ONCE = 2
-"""Of the interruptions between two records only so many count: a wave of them says little of the
+MAX_INTERRUPTIONS_PER_RECORD = 2
+"""Maximum number of interruptions counted per record of uptime: many at once say little about the
 usual rate."""
 
-FORGET_S = 600.0
-"""Time in which the weight of an observation falls to 1/e."""
+DECAY_S = 600.0
+"""Time in seconds in which the weight of an observation falls to 1/e."""
 
 DETECTION_S = 8.0
-"""Roughly the time until a loss is noticed and the task starts again."""
+"""Approximate time in seconds until a loss is detected and the task starts again."""
 
 MIN_RISK = 0.25
-"""A job is at risk from this probability of being late."""
+"""Probability of being late from which a job counts as at risk."""
 
 
 class InterruptionStats:
-    """The rate at which spot machines are reclaimed, as far as this term has observed it."""
+    """Estimates the rate at which spot machines are reclaimed, as observed in this term."""
 
     def __init__(self) -> None:
         self._uptime_s = PRIOR_UPTIME_S
         self._interruptions = PRIOR_UPTIME_S * PRIOR_RATE_PER_S
         self._unrecorded = 0
-        """Interruptions since the last record of uptime."""
+        """Interruptions since the last call of `record_uptime`."""
 
     def record_interruption(self) -> None:
-        """A spot machine was reclaimed, or is about to be."""
+        """Count a spot machine that was reclaimed, or is about to be."""
         self._unrecorded += 1
 
     def record_uptime(self, seconds: float, machines: int) -> None:
-        """So many spot machines were up for so long; called once a second."""
-        keep = math.exp(-seconds / FORGET_S)
-        self._uptime_s = max(PRIOR_UPTIME_S, self._uptime_s * keep) + machines * seconds
-        self._interruptions = self._interruptions * keep + min(self._unrecorded, MAX_AT_ONCE)
+        """Record that `machines` spot machines were up for `seconds`; called once a second."""
+        decay = math.exp(-seconds / DECAY_S)
+        self._uptime_s = max(PRIOR_UPTIME_S, self._uptime_s * decay) + machines * seconds
+        self._interruptions = self._interruptions * decay + min(
+            self._unrecorded, MAX_INTERRUPTIONS_PER_RECORD
+        )
         self._unrecorded = 0
 
     @property
@@ -54,10 +57,10 @@
         return self._interruptions / self._uptime_s
 
     def at_risk(self, job: Job, scorer: Scorer, now: Seconds) -> bool:
-        """Whether a loss may well make the job late, were all its tasks on spot machines.
+        """Whether a loss is likely to make the job late, if all its tasks ran on spot machines.
 
-        Late means for the next completion target that it can still meet. A job is late with its
-        last task, and each of them may be lost.
+        The job is late if it misses the next completion target that it can still meet. It completes
+        with its last task, so the loss of any task counts.
         """
         spec = job.spec
         if not spec.spot or spec.checkpoint_s > 0.0:
@@ -65,11 +68,11 @@
         run_s = scorer.run_s(spec)
         age_s = now - job.submitted
         targets = scorer.completion_targets_s(spec)
-        target_s = next((found for found in targets if found >= age_s + run_s), None)
+        target_s = next((target for target in targets if target >= age_s + run_s), None)
         if target_s is None:
             return False
-        # A task that is lost before this time of its run can still be repeated by the target.
-        harmless_s = max(0.0, target_s - age_s - run_s - DETECTION_S)
-        late_if_lost = max(0.0, 1.0 - harmless_s / run_s)
-        loss = 1.0 - math.exp(-self.rate * run_s * (spec.tasks - job.done_count))
-        return late_if_lost * loss >= MIN_RISK
+        # A task lost within this time from its start can still be rerun before the target.
+        rerun_margin_s = max(0.0, target_s - age_s - run_s - DETECTION_S)
+        late_if_lost = max(0.0, 1.0 - rerun_margin_s / run_s)
+        loss_probability = 1.0 - math.exp(-self.rate * run_s * (spec.tasks - job.done_count))
+        return late_if_lost * loss_probability >= MIN_RISK
--- a/src/crosscleat/core/capacity/machine_list.py
+++ b/src/crosscleat/core/capacity/machine_list.py
@@ -1,4 +1,4 @@
-"""Reading the cloud's list of machines: it finds machines that nobody reported, and lost ones."""
+"""Reads the cloud's machine list, which shows machines without heartbeats and lost ones."""
 
 from __future__ import annotations
 
@@ -14,29 +14,30 @@
 from .decommissioning import Decommissioner
 from .machines import Machines
 
-INTERVAL_S = 10.0
-"""How often the list is read."""
+READ_INTERVAL_S = 10.0
+"""Seconds between two reads of the list."""
 
-DOUBTFUL_INTERVAL_S = 3.0
-"""The same while machines are silent, as the list may soon show that they have ended."""
+SILENCE_INTERVAL_S = 3.0
+"""The same while machines are silent: the list may soon show that they have ended."""
 
-LISTED_BY_S = 60.0
-"""A younger machine that the list lacks may only be missing from an old copy of the list."""
+MIN_MISSING_AGE_S = 60.0
+"""Minimum age in seconds of a machine that counts as missing from the list: a younger one may only
+be missing because the list is an old copy."""
 
 
 class HeartbeatRequests(Protocol):
-    """Takes requests for heartbeats (`control.pending_work.PendingWork`)."""
+    """Queues requests for heartbeats (`control.pending_work.PendingWork`)."""
 
     def queue_heartbeat_requests(self, machines: Iterable[Machine]) -> None:
         """Ask these machines for a heartbeat, in this order."""
 
 
-class HeartbeatAge(Protocol):
-    """When a machine counts as silent (`control.liveness.Liveness`)."""
+class QuietLimit(Protocol):
+    """Says when a machine counts as quiet (`control.liveness.Liveness`)."""
 
     @property
     def quiet_s(self) -> float:
-        """A machine that was silent for so long has missed a heartbeat."""
+        """Silence in seconds after which a machine has missed a heartbeat."""
 
 
 class MachineList:
@@ -47,7 +48,7 @@
         term: LeadingTerm,
         cluster: ClusterState,
         machines: Machines,
-        liveness: HeartbeatAge,
+        liveness: QuietLimit,
         decommissioner: Decommissioner,
         heartbeat_requests: HeartbeatRequests,
     ) -> None:
@@ -57,53 +58,55 @@
         self._liveness = liveness
         self._decommissioner = decommissioner
         self._heartbeat_requests = heartbeat_requests
-        self._reading = False
-        self._read_at = term.now
-        """When to read it next."""
+        self._read_pending = False
+        self._next_read_at = term.now
+        """When to read the list next."""
         self._last_read_at = term.now
 
-    def read_if_due(self, now: Seconds, doubtful: bool) -> None:
-        """Read the list at intervals: shorter ones if it is doubtful whether machines live."""
-        if doubtful:
-            self._read_at = min(self._read_at, Seconds(self._last_read_at + DOUBTFUL_INTERVAL_S))
-        if not self._reading and now >= self._read_at:
+    def read_if_due(self, now: Seconds, machines_silent: bool) -> None:
+        """Request the list if it is due; `machines_silent` shortens the interval."""
+        if machines_silent:
+            self._next_read_at = min(
+                self._next_read_at, Seconds(self._last_read_at + SILENCE_INTERVAL_S)
+            )
+        if not self._read_pending and now >= self._next_read_at:
             self._last_read_at = now
-            self._read_at = Seconds(now + INTERVAL_S)
-            self._reading = True
+            self._next_read_at = Seconds(now + READ_INTERVAL_S)
+            self._read_pending = True
             self._term.outbox.add(ListMachines(self.receive))
 
     def receive(self, entries: list[ListedMachine] | None) -> None:
-        """Compare the list, which is some seconds old, with what is known; None: no answer."""
-        self._reading = False
+        """Compare the list, which is some seconds old, with the known machines; None: no answer."""
+        self._read_pending = False
         if entries is None or self._term.retired:
             return
         self._decommission_missing({entry.id for entry in entries}, self._term.now)
-        unreported: list[Machine] = []
+        without_heartbeat: list[Machine] = []
         for entry in entries:
             if self._machines.is_deleted(entry.id):
                 continue
-            machine = self._machines.enter_listed(entry)
+            machine = self._machines.add_listed(entry)
             if entry.state == "failed":
-                self._decommissioner.decommission(machine, "failed")
+                self._decommissioner.decommission(machine, "listed as failed")
             if machine.listed_as_running and not machine.has_sent_heartbeat:
-                unreported.append(machine)
-        # They may report to another controller or late: those with the most free capacity are asked
-        # first, as work may wait for it.
+                without_heartbeat.append(machine)
+        # They may send heartbeats to another controller, or late. Those with the most free capacity
+        # are asked first, as work may wait for it.
         self._heartbeat_requests.queue_heartbeat_requests(
-            sorted(unreported, key=lambda machine: machine.used_cpus)
+            sorted(without_heartbeat, key=lambda machine: machine.used_cpus)
         )
 
     def _decommission_missing(self, listed: set[MachineId], now: Seconds) -> None:
-        """Return machines that the list named once, names no more, and that are silent.
+        """Decommission quiet machines that an earlier list named and this one does not.
 
-        A machine stays listed until it is deleted; but an answer may be older than the one before.
+        A machine stays listed until it is deleted, but an answer may be older than the one before.
         """
         quiet_s = self._liveness.quiet_s
         for machine in self._cluster.machines.values():
             if (
                 machine.listed_by_cloud
                 and machine.id not in listed
-                and now - machine.created_at > LISTED_BY_S
+                and now - machine.created_at > MIN_MISSING_AGE_S
                 and now - machine.last_heartbeat_at > quiet_s
             ):
-                self._decommissioner.decommission(machine, "no longer listed")
+                self._decommissioner.decommission(machine, "no longer listed by the cloud")
--- a/src/crosscleat/core/capacity/machine_watch.py
+++ b/src/crosscleat/core/capacity/machine_watch.py
@@ -1,4 +1,4 @@
-"""Watching each machine: lease expiry, idleness, and the reasons to return it."""
+"""Checks each machine for an expired lease, idleness, and reasons to return it."""
 
 from __future__ import annotations
 
@@ -11,44 +11,45 @@
 from .decommissioning import Decommissioner
 
 LEASE_SLACK_S = 0.2
-"""Added to a worker's lease before it counts as expired."""
+"""Seconds added to a worker's lease before it counts as expired."""
 
 MAX_BOOT_FACTOR = 4.0
 
 MAX_BOOT_SLACK_S = 20.0
-"""A machine that is not up after four times its usual boot and this time never boots."""
+"""A machine is assumed never to boot if it is not up after `MAX_BOOT_FACTOR` times the boot time of
+its type plus this time."""
 
-UNLISTED_S = 2.0
-"""A machine that only a record names is deleted so long after the silence for which others are: by
-then the list has been read."""
+RECORD_ONLY_SLACK_S = 2.0
+"""Seconds added to the silence limit for a machine that only a record names: by then the machine
+list has been read."""
 
 
-class SilenceJudge(Protocol):
+class SilenceLimits(Protocol):
     """Says which machines have been silent for too long (`control.liveness.Liveness`)."""
 
     @property
     def silent_s(self) -> float:
-        """Silence after which a machine is deleted."""
+        """Silence in seconds after which a machine is deleted."""
 
     def silent(self, machine: Machine, now: Seconds) -> bool:
-        """Whether to delete the machine for its silence."""
+        """Whether the machine has been silent for so long that it is to be deleted."""
 
 
 class AttemptEnds(Protocol):
-    """Carries out what the end of an attempt means (`control.attempts.Attempts`)."""
+    """Handles attempts that have ended (`control.attempts.Attempts`)."""
 
     def ended(self, machine: Machine, allocation: Allocation) -> None:
-        """The attempt is proven to have ended without a result."""
+        """Handle an attempt that is proven to have ended without a result."""
 
 
 class MachineWatch:
-    """Looks at one machine after the other."""
+    """Checks one machine at a time and decommissions it if there is a reason."""
 
     def __init__(
         self,
         term: LeadingTerm,
         attempts: AttemptEnds,
-        liveness: SilenceJudge,
+        liveness: SilenceLimits,
         decommissioner: Decommissioner,
     ) -> None:
         self._term = term
@@ -57,7 +58,11 @@
         self._decommissioner = decommissioner
 
     def watch(self, machine: Machine, now: Seconds) -> None:
-        """End its attempts if its lease has expired; return it if it is silent, drained or late."""
+        """Check one machine.
+
+        Ends its attempts if its lease has expired, updates `idle_since`, and decommissions it if it
+        is silent, drained or late to boot.
+        """
         self._end_expired_lease(machine, now)
         busy = bool(machine.allocations or machine.exited or machine.orphans)
         if busy or not machine.has_sent_heartbeat:
@@ -74,20 +79,20 @@
             self._decommissioner.decommission(machine, reason)
 
     def _reason_to_return(self, machine: Machine, now: Seconds) -> str | None:
-        """Why to return a machine that is not silent for too long; None: it stays."""
+        """The reason to return a machine that is not silent for too long; None to keep it."""
         if machine.has_sent_heartbeat:
             return "drained" if machine.draining and not machine.allocations else None
         if machine.booted:
-            # It runs and has not reported in this term: perhaps it can't reach a controller.
+            # It runs but has sent no heartbeat in this term: perhaps it can't reach a controller.
             return None
         if machine.type is UNKNOWN_TYPE:
-            known_by = machine.created_at + self._liveness.silent_s + UNLISTED_S
-            return "only on record, neither listed nor reporting" if now > known_by else None
+            deadline = machine.created_at + self._liveness.silent_s + RECORD_ONLY_SLACK_S
+            return "in a record only, not listed, no heartbeat" if now > deadline else None
         return "did not boot in time" if now > self._boot_deadline(machine) else None
 
     def _boot_deadline(self, machine: Machine) -> float:
         max_boot_s = MAX_BOOT_FACTOR * machine.type.boot_s + MAX_BOOT_SLACK_S
-        # In a new term a machine may be up and not have reported yet.
+        # In a new term a machine may be up and have sent no heartbeat to this leader yet.
         return max(machine.created_at + max_boot_s, self._term.began + self._liveness.silent_s)
 
     def _end_expired_lease(self, machine: Machine, now: Seconds) -> None:
--- a/src/crosscleat/core/capacity/pool_catalog.py
+++ b/src/crosscleat/core/capacity/pool_catalog.py
@@ -1,4 +1,4 @@
-"""Which pool to rent from: machine types, their prices, and the pools that may have capacity."""
+"""Chooses the pool to rent from by machine types, prices and the results of past rentals."""
 
 from __future__ import annotations
 
@@ -16,43 +16,43 @@
 from .waiting_reasons import WaitingReason
 
 EXPENSIVE_PRICE_RATIO = 1.6
-"""A CPU that costs more than this times the cheapest one, on demand or spot, is expensive."""
+"""A CPU is expensive if it costs more than this times the cheapest one, on-demand or spot."""
 
-MAX_WAIT_S = 90.0
-"""Tasks that wait for longer have expensive machines rented for them even if these come late."""
+OVERDUE_WAIT_S = 90.0
+"""Expensive machines are rented for tasks that wait for longer, even if these complete late."""
 
 MAX_SIZE_RATIO = 2.0
-"""A machine for general capacity has at most so many times the CPUs that are lacking."""
+"""Maximum CPUs of a machine for general capacity, as a multiple of the lacking CPUs."""
 
 MIN_CPUS = 1e-9
-"""The price of a CPU stays finite for machine types without CPUs."""
+"""Keeps the price per CPU finite for machine types without CPUs."""
 
 
 class CompletionEstimates(Protocol):
-    """When jobs are to be done, and how long they still run (`scheduling.scoring.Scorer`)."""
+    """Completion targets and run-time estimates of jobs (`scheduling.scoring.Scorer`)."""
 
     def completion_target_s(self, spec: JobSpec, /) -> float:
-        """Seconds after submission by which the job is to be done."""
+        """Seconds after submission by which the job should be done."""
 
     def remaining_s(self, job: Job, /) -> float:
         """Estimated run time of the job's next attempt."""
 
 
 class PoolOffer(NamedTuple):
-    """A pool whose machines suit a job's tasks."""
+    """A pool whose machines suit a job's tasks, with the price per task."""
 
     pool: PoolKey
     tasks_per_machine: int
     max_tasks: int
-    """How many tasks of the job its zone constraint still admits in the pool's zone."""
+    """Maximum number of further tasks that the job's zone constraint admits in the pool's zone."""
     price_per_task: float
-    """Per hour, of the share of the machine that one task takes."""
+    """Price per hour of the share of the machine that one task takes."""
     cpus: float
-    """Of one machine."""
+    """CPUs of one machine."""
 
 
 TypeInPool = tuple[MachineType, PoolKey]
-"""A machine type, and one of its pools."""
+"""A machine type and one of its pools."""
 
 
 def price_per_cpu(machine_type: MachineType, spot: bool) -> float:
@@ -60,19 +60,19 @@
     return machine_type.price_for(spot) / max(machine_type.cpus, MIN_CPUS)
 
 
-def only_cheap_capacity(job: Job) -> bool:
-    """Whether no expensive machine is rented for the job: backfill of which a task has started.
+def uses_only_cheap_capacity(job: Job) -> bool:
+    """Whether no expensive machine is rented for the job, as it is backfill that has been placed.
 
-    Every backfill job starts in the end, but goes on only on capacity that is idle or inexpensive.
+    Every backfill job is started eventually, but continues only on idle or inexpensive capacity.
     """
     return job.backfill and job.ever_placed
 
 
 class PoolCatalog:
-    """The machine types, their pools, and what rentals have shown of the pools."""
+    """The machine types and their pools, with the results of past rentals from each pool."""
 
     def __init__(self, types: dict[TypeName, MachineType], estimates: CompletionEstimates) -> None:
-        """`types` may change later, as prices do; it may be empty at first."""
+        """`types` is updated in place when prices change, and may be empty at first."""
         self.types = types
         self._estimates = estimates
         self._pools: dict[PoolKey, Pool] = {}
@@ -82,7 +82,7 @@
         return self._pools.setdefault(key, Pool())
 
     def is_expensive(self, machine_type: MachineType, spot: bool) -> bool:
-        """Whether a machine's CPUs cost well over the cheapest there are."""
+        """Whether a machine's CPUs cost well over the cheapest CPU on offer."""
         cheapest = min(
             (min(t.spot_price, t.price) / t.cpus for t in self.types.values() if t.cpus > 0),
             default=0.0,
@@ -92,90 +92,90 @@
     def cheapest_for_job(
         self, unplaced: UnplacedTasks, zones: ZoneLimits, now: Seconds
     ) -> PoolOffer | WaitingReason:
-        """The cheapest open pool for tasks that no rented machine can start, or why there is none.
+        """The cheapest open pool for tasks without free capacity, or the reason why there is none.
 
-        An expensive machine is only for work that it can still complete on time, or that has waited
-        for so long that it must start at any price. `zones` are without these tasks.
+        Expensive machines are only rented for work that they can still complete on time, or that
+        has waited for so long that it must start at any price. `zones` does not count these tasks.
         """
         job = unplaced.job
         suitable = self._suitable(job.spec)
         if not suitable:
             return WaitingReason.NO_TYPE
-        admitted = [found for found in suitable if zones.admits(job.spec, found[1].zone)]
+        admitted = [option for option in suitable if zones.admits(job.spec, option[1].zone)]
         if not admitted:
             return WaitingReason.NO_ZONE
         affordable = self._affordable(job, admitted, now)
-        doubtful: frozenset[Zone] = frozenset()
+        refusing: frozenset[Zone] = frozenset()
         if job.is_gang and job.spec.spread:
             pools = self._pools_by_zone(affordable)
-            if not _may_hold(unplaced, pools, zones, now):
+            if not _zones_may_hold(unplaced, pools, zones, now):
                 return WaitingReason.TOO_FEW_ZONES
-            doubtful = frozenset(zone for zone in pools if _is_doubtful(pools[zone]))
-        offer = self._cheapest_open(job.spec, affordable, doubtful, zones, now)
+            refusing = frozenset(zone for zone in pools if _all_refusing(pools[zone]))
+        offer = self._cheapest_open(job.spec, affordable, refusing, zones, now)
         if offer is not None:
             return offer
-        some_open = any(self.pool(key).open(now) for _, key in admitted)
+        some_open = any(self.pool(key).is_open(now) for _, key in admitted)
         return WaitingReason.TOO_EXPENSIVE if some_open else WaitingReason.POOLS_CLOSED
 
     def _cheapest_open(
         self,
         spec: JobSpec,
-        found: list[TypeInPool],
-        doubtful: frozenset[Zone],
+        options: list[TypeInPool],
+        refusing: frozenset[Zone],
         zones: ZoneLimits,
         now: Seconds,
     ) -> PoolOffer | None:
-        """The cheapest of the open pools; those of doubtful zones come first.
+        """The cheapest of the open pools; those in `refusing` zones come first.
 
-        A gang in several zones first asks the zone that has refused: a machine elsewhere would be
-        paid for, returned and rented again while that zone has none.
+        For a gang in several zones, the zone that has refused is asked first: machines in the other
+        zones would be paid for, returned and rented again while that zone has no capacity.
         """
         offers = (
             self._offer(spec, machine_type, key, zones)
-            for machine_type, key in found
-            if self.pool(key).open(now)
+            for machine_type, key in options
+            if self.pool(key).is_open(now)
         )
         return min(
             offers,
             key=lambda offer: (
-                offer.pool.zone not in doubtful,
+                offer.pool.zone not in refusing,
                 offer.price_per_task,
                 offer.cpus,
             ),
             default=None,
         )
 
-    def _affordable(self, job: Job, found: list[TypeInPool], now: Seconds) -> list[TypeInPool]:
-        """Those that are not too expensive for the job at its age."""
-        # What only expensive machines suit has nothing cheaper to wait for.
-        if all(self.is_expensive(machine_type, key.spot) for machine_type, key in found):
-            return found
+    def _affordable(self, job: Job, options: list[TypeInPool], now: Seconds) -> list[TypeInPool]:
+        """The options that are not too expensive for the job at its age."""
+        # If only expensive machines suit the job, there is nothing cheaper to wait for.
+        if all(self.is_expensive(machine_type, key.spot) for machine_type, key in options):
+            return options
         age_s = now - job.submitted
         return [
             (machine_type, key)
-            for machine_type, key in found
+            for machine_type, key in options
             if not (
                 self._avoids_expensive(job, age_s, machine_type)
                 and self.is_expensive(machine_type, key.spot)
             )
         ]
 
-    def _pools_by_zone(self, found: list[TypeInPool]) -> dict[Zone, list[Pool]]:
+    def _pools_by_zone(self, options: list[TypeInPool]) -> dict[Zone, list[Pool]]:
         pools: dict[Zone, list[Pool]] = {}
-        for _, key in found:
+        for _, key in options:
             pools.setdefault(key.zone, []).append(self.pool(key))
         return pools
 
     def cheapest_capacity(
         self, cpus: float, now: Seconds, suits: Callable[[MachineType, PoolKey], bool]
     ) -> ScaleOutRequest | None:
-        """As many machines of the cheapest open pool that suits as the lacking CPUs fill."""
+        """A rental for the lacking `cpus` from the cheapest open pool that `suits` accepts."""
         options = [
             (price_per_cpu(machine_type, key.spot), machine_type.cpus, key)
             for machine_type in self.types.values()
             if 0.0 < machine_type.cpus <= MAX_SIZE_RATIO * cpus
             for key in _pools_of(machine_type)
-            if self.pool(key).open(now) and suits(machine_type, key)
+            if self.pool(key).is_open(now) and suits(machine_type, key)
         ]
         if not options:
             return None
@@ -183,7 +183,7 @@
         return ScaleOutRequest(key, min(MAX_PER_RENTAL, max(1, int(cpus / size))))
 
     def _suitable(self, spec: JobSpec) -> list[TypeInPool]:
-        """The pools on whose machines a task of the job fits and may be, open or not."""
+        """The pools, open or not, on whose machines a task of the job fits and may run."""
         return [
             (machine_type, key)
             for machine_type in self.types.values()
@@ -202,36 +202,36 @@
         return PoolOffer(key, count, max_tasks, price_per_task, machine_type.cpus)
 
     def _avoids_expensive(self, job: Job, age_s: float, machine_type: MachineType) -> bool:
-        """Whether the job rather waits than have such a machine rented at a high price."""
-        return self._latest_age_s(job, machine_type) < age_s < MAX_WAIT_S or only_cheap_capacity(
-            job
-        )
+        """Whether the job should wait instead of having such a machine rented at a high price."""
+        return self._latest_age_s(
+            job, machine_type
+        ) < age_s < OVERDUE_WAIT_S or uses_only_cheap_capacity(job)
 
     def _latest_age_s(self, job: Job, machine_type: MachineType) -> float:
-        """The age from which renting such a machine can't complete the job's tasks on time."""
+        """The job's age from which a new machine of this type can't complete its tasks on time."""
         start_s = machine_type.boot_s + fetch_time(job.spec, machine_type)
         target_s = self._estimates.completion_target_s(job.spec)
         return target_s - self._estimates.remaining_s(job) - start_s
 
 
-def _is_doubtful(pools: list[Pool]) -> bool:
+def _all_refusing(pools: list[Pool]) -> bool:
     """Whether each of a zone's pools has refused several times in a row."""
-    return all(pool.doubtful for pool in pools)
+    return all(pool.refuses_repeatedly for pool in pools)
 
 
-def _may_hold(
+def _zones_may_hold(
     unplaced: UnplacedTasks, pools: dict[Zone, list[Pool]], zones: ZoneLimits, now: Seconds
 ) -> bool:
-    """Whether the zones whose pools may have machines would hold all tasks that a gang lacks."""
+    """Whether the zones whose pools may have machines can hold all tasks that a gang lacks."""
     spec = unplaced.job.spec
     admitted = [
         zones.tasks_left(spec, zone)
-        for zone, found in pools.items()
-        if not _is_doubtful(found) or any(pool.open(now) for pool in found)
+        for zone, zone_pools in pools.items()
+        if not _all_refusing(zone_pools) or any(pool.is_open(now) for pool in zone_pools)
     ]
-    # A gang that must be in one zone besides can never start.
-    in_all = max(admitted, default=0) if spec.one_zone else sum(admitted)
-    return in_all >= unplaced.tasks
+    # A spread gang that must also be in one zone can never start.
+    max_tasks = max(admitted, default=0) if spec.one_zone else sum(admitted)
+    return max_tasks >= unplaced.tasks
 
 
 def _pools_of(machine_type: MachineType) -> list[PoolKey]:
--- a/src/crosscleat/core/capacity/pools.py
+++ b/src/crosscleat/core/capacity/pools.py
@@ -1,4 +1,4 @@
-"""Pools: machines that share a capacity, which the cloud does not publish."""
+"""Pools: groups of machines that share a capacity limit, which the cloud does not publish."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ..model.ids import LONG_AGO, Seconds, TypeName, Zone
 
 MAX_PER_RENTAL = 50
-"""Machines of one rental request, by the protocol."""
+"""Maximum number of machines in one rental request, a limit of the cloud's protocol."""
 
 FIRST_BACKOFF_S = 8.0
 
@@ -15,13 +15,13 @@
 
 BACKOFF_FACTOR = 1.7
 
-DOUBTFUL_BACKOFF_S = 20.0
-"""A pool whose next pause is longer than this has refused twice in a row, or more often."""
+REPEATED_REFUSAL_BACKOFF_S = 20.0
+"""A pool whose next backoff is longer than this has refused at least twice in a row."""
 
 
 @dataclass(frozen=True, slots=True)
 class PoolKey:
-    """Machines of one type and zone, on demand or spot, share a capacity."""
+    """Identifies a pool: machines of one type and zone, on-demand or spot."""
 
     type: TypeName
     zone: Zone
@@ -35,30 +35,30 @@
     pool: PoolKey
     count: int
     overdue: bool = False
-    """For work that has waited so long that the budget does not hold it back."""
+    """The work has waited for so long that the budget does not apply to it."""
 
 
 @dataclass(slots=True)
 class Pool:
-    """What rentals from a pool have shown of its capacity."""
+    """The results of past rentals from a pool."""
 
-    refused_until: Seconds = LONG_AGO
+    closed_until: Seconds = LONG_AGO
     backoff_s: float = FIRST_BACKOFF_S
 
-    def open(self, now: Seconds) -> bool:
-        """Whether it may be asked again."""
-        return self.refused_until <= now
+    def is_open(self, now: Seconds) -> bool:
+        """Whether machines may be requested from it now."""
+        return self.closed_until <= now
 
     @property
-    def doubtful(self) -> bool:
+    def refuses_repeatedly(self) -> bool:
         """Whether it has refused several times in a row."""
-        return self.backoff_s > DOUBTFUL_BACKOFF_S
+        return self.backoff_s > REPEATED_REFUSAL_BACKOFF_S
 
-    def refuse(self, now: Seconds) -> None:
-        """Ask it later, as it had no capacity or too little: each time after a longer pause."""
-        self.refused_until = Seconds(now + self.backoff_s)
+    def record_refusal(self, now: Seconds) -> None:
+        """Close it for a while, as it had too little capacity; each refusal extends the backoff."""
+        self.closed_until = Seconds(now + self.backoff_s)
         self.backoff_s = min(MAX_BACKOFF_S, self.backoff_s * BACKOFF_FACTOR)
 
-    def granted(self) -> None:
-        """It had all that was asked for: the next refusal begins with a short pause again."""
+    def record_success(self) -> None:
+        """Reset the backoff, as it had all machines that were requested."""
         self.backoff_s = FIRST_BACKOFF_S
--- a/src/crosscleat/core/capacity/scaling.py
+++ b/src/crosscleat/core/capacity/scaling.py
@@ -1,4 +1,4 @@
-"""Scaling out and in during a term: one rental call at a time, within the period's budget."""
+"""Scales out and in during a term: one rental call at a time, within the period's budget."""
 
 from __future__ import annotations
 
@@ -24,30 +24,30 @@
 from .waiting_reasons import WaitingReport
 
 ADJUST_S = 1.0
-"""How often demand and machines are compared; sooner after a rental was answered."""
+"""Seconds between two scaling decisions; the answer to a rental allows one at once."""
 
 REPORT_S = 30.0
-"""How often it is logged why nothing is rented for jobs that wait."""
+"""Seconds between two log reports of why nothing is rented for waiting jobs."""
 
 MAX_RENTAL_ATTEMPTS = 4
-"""A rental without an answer is requested so often, each time under the same name."""
+"""Maximum number of times that an unanswered rental is sent, each under the same name."""
 
 MAX_DISCOVERY_S = 3.0
-"""A new leader rents nothing for at most so long, while machines report to it."""
+"""Maximum time in seconds that a new leader rents nothing, while machines report to it."""
 
 DISCOVERY_HEARTBEATS = 1.3
-"""The same in heartbeat intervals."""
+"""The same time in heartbeat intervals; the shorter of the two applies."""
 
 
 class SurplusMachines(Protocol):
-    """Empties machines that are to be returned (`control.evacuation.Evacuation`)."""
+    """Drains machines that are to be returned (`control.evacuation.Evacuation`)."""
 
     def release_surplus(self, machine: Machine) -> None:
-        """Stop what runs on the machine, which is returned once it is empty."""
+        """Stop all attempts on the machine, which is returned once it is empty."""
 
 
 class Autoscaler:
-    """Rents for waiting work and the warm capacity, and returns machines that are not needed."""
+    """Rents machines for waiting work and the warm capacity, and returns unneeded machines."""
 
     def __init__(
         self,
@@ -71,38 +71,38 @@
         self._decommissioner = decommissioner
         self._surplus = surplus
         self._budget: Budget | None = None
-        """Made once the machine types are known, by whose prices the allowance is set."""
+        """Created once the machine types are known, as their prices determine the allowance."""
         self._rental_pending = False
-        self._rentals = 0
-        """Rental requests of this term; repeats are not counted."""
-        self._adjust_at = term.now
-        self._report_at = term.now
+        self._rental_count = 0
+        """Number of rental requests in this term, repeats not included."""
+        self._next_adjust_at = term.now
+        self._next_report_at = term.now
         self._budget_logged_at = LONG_AGO
         self._risks_updated_at = term.now
         self._expects_machines = True
-        """Machines may be rented from before this term."""
+        """Machines that were rented before this term may still be rented."""
 
     def expect_no_machines(self) -> None:
-        """Nothing was on record when the term began: hardly a machine is rented."""
+        """Rent without waiting for reports: no record existed when the term began."""
         self._expects_machines = False
 
     def adjust(self, now: Seconds) -> None:
-        """Once a second: request the next rental, if any, and return unneeded machines."""
-        if now < self._adjust_at or not self._fleet.types or not self._term.may_start(now):
+        """Request the next rental, if any, and return unneeded machines; acts once a second."""
+        if now < self._next_adjust_at or not self._fleet.types or not self._term.may_start(now):
             return
         self._update_risks(now)
-        self._adjust_at = Seconds(now + ADJUST_S)
+        self._next_adjust_at = Seconds(now + ADJUST_S)
         machines = list(self._cluster.machines.values())
         self._scale_out(machines, now)
         self._scale_in(machines, now)
 
     def _scale_out(self, machines: list[Machine], now: Seconds) -> None:
-        """Request the next rental, unless one is pending or the budget holds it back."""
-        rate_per_s = sum(one.type.price_for(one.spot) for one in machines) / HOUR_S
+        """Request the next rental, unless one is pending or the budget does not allow it."""
+        rate_per_s = sum(machine.type.price_for(machine.spot) for machine in machines) / HOUR_S
         budget = self._charged_budget(rate_per_s, now)
         jobs = [job for job in self._jobs.values() if not job.cancelled]
         teams = self._term.deployment.teams
-        report = WaitingReport(now, wanted=now >= self._report_at)
+        report = WaitingReport(now, wanted=now >= self._next_report_at)
         use = self._capacity_use()
         request = self._fleet.next_scale_out(jobs, machines, teams, use, now, report)
         self._log_waiting(report, now)
@@ -115,13 +115,13 @@
         elif now >= self._budget_logged_at + REPORT_S:
             self._budget_logged_at = now
             pool = request.pool
-            self._log(f"the budget holds back {request.count} of {pool.type} in {pool.zone}")
+            self._log(f"over budget, not rented: {request.count} of {pool.type} in {pool.zone}")
 
     def _log_waiting(self, report: WaitingReport, now: Seconds) -> None:
         """Log why jobs that have waited for long have no machine rented for them."""
-        if now < self._report_at:
+        if now < self._next_report_at:
             return
-        self._report_at = Seconds(now + REPORT_S)
+        self._next_report_at = Seconds(now + REPORT_S)
         for waiting in report.oldest():
             self._log(str(waiting))
 
@@ -137,7 +137,7 @@
                 self._decommissioner.decommission(machine, "idle")
 
     def _update_risks(self, now: Seconds) -> None:
-        """Judge which jobs the loss of a spot machine would make late; it changes with age."""
+        """Update which jobs the loss of a spot machine would make late; it changes with age."""
         spot_machines = sum(
             1 for m in self._cluster.machines.values() if m.has_sent_heartbeat and m.spot
         )
@@ -148,14 +148,14 @@
             job.at_risk = not job.cancelled and self._interruptions.at_risk(job, self._scorer, now)
 
     def _capacity_use(self) -> CapacityUse:
-        """What is used and asked for, by the kinds of work that capacity is kept for."""
+        """Capacity used and requested, by the classes of work that capacity is kept for."""
         return CapacityUse(
-            by_team=self._cluster.team_cpus,
+            cpus_by_team=self._cluster.team_cpus,
             gpus_by_team=self._cluster.team_gpus,
             job_zones=self._cluster.job_zones,
-            at_risk=self._cpus_of(lambda job: job.at_risk),
-            on_demand_only=self._cpus_of(lambda job: not job.spec.spot and not job.cancelled),
-            backfill=sum(
+            at_risk_cpus=self._cpus_of(lambda job: job.at_risk),
+            on_demand_only_cpus=self._cpus_of(lambda job: not job.spec.spot and not job.cancelled),
+            backfill_cpus=sum(
                 job.spec.cpus * job.placed_count() for job in self._jobs.values() if job.backfill
             ),
         )
@@ -169,19 +169,20 @@
         )
 
     def _machines_discovered(self, now: Seconds) -> bool:
-        """Whether the machines that are rented have had time to report to a new leader.
+        """Whether the rented machines have had time to report to a new leader.
 
-        Before, it would rent them a second time. If nothing is on record, no work has started and
-        hardly a machine is rented.
+        A leader that rented before would rent the same capacity a second time. If no record existed
+        when the term began, no work has started and hardly any machine is rented, so it need not
+        wait.
         """
         interval_s = self._term.deployment.heartbeat_interval_s
         wait_s = min(MAX_DISCOVERY_S, interval_s * DISCOVERY_HEARTBEATS)
         return not self._expects_machines or now - self._term.began > wait_s
 
-    # Money
+    # Budget
 
     def _charged_budget(self, rate_per_s: float, now: Seconds) -> Budget:
-        """The budget, with the cost of the rented machines up to now."""
+        """The budget, charged with the cost of the rented machines up to now."""
         if self._budget is None:
             period_s = self._term.deployment.tuning.period_s
             self._budget = Budget(period_s, self._allowance(), now)
@@ -189,7 +190,7 @@
         return self._budget
 
     def _allowance(self) -> float:
-        """A period's allowance: the CPUs of every team's guarantee on on-demand machines."""
+        """A period's allowance, from the on-demand price of the CPUs guaranteed to all teams."""
         per_cpu = min(
             (t.price / t.cpus for t in self._fleet.types.values() if t.cpus > 0), default=0.0
         )
@@ -204,8 +205,11 @@
         return machine_type.price_for(request.pool.spot) * request.count / HOUR_S
 
     def _waiting_cost(self, jobs: Iterable[Job]) -> float:
-        """Cost of all waiting tasks on on-demand machines of the type whose CPUs cost most."""
-        costliest = max(self._fleet.types.values(), key=lambda found: price_per_cpu(found, False))
+        """Cost of all waiting tasks on on-demand machines of the type with the costliest CPUs."""
+        costliest = max(
+            self._fleet.types.values(),
+            key=lambda machine_type: price_per_cpu(machine_type, False),
+        )
         return sum(
             job.waiting_count() * self._scorer.cost(job, costliest, False, 0.0) for job in jobs
         )
@@ -215,10 +219,10 @@
     def rent(self, request: ScaleOutRequest) -> None:
         """Send one rental request."""
         self._rental_pending = True
-        self._rentals += 1
-        # The token is this term's alone: no other controller, nor an earlier process of this one,
-        # uses the same name.
-        self._send(f"r-{self._term.began_token}-{self._rentals}", request, 1)
+        self._rental_count += 1
+        # The token belongs to this term alone: no other controller, and no earlier process of this
+        # one, uses the same name.
+        self._send(f"r-{self._term.began_token}-{self._rental_count}", request, 1)
 
     def _send(self, name: str, request: ScaleOutRequest, attempt: int) -> None:
         pool = request.pool
@@ -246,15 +250,15 @@
         pool = self._fleet.catalog.pool(key)
         self._rental_pending = False
         if not isinstance(outcome, Rented):
-            pool.refuse(now)
-            self._log(f"refused: {request.count} of {key.type} in {key.zone}")
+            pool.record_refusal(now)
+            self._log(f"rental refused or unanswered: {request.count} of {key.type} in {key.zone}")
             return
-        for machine in outcome.machines:
-            self._machines.enter_rented(key, MachineId(machine))
+        for machine_id in outcome.machines:
+            self._machines.add_rented(key, MachineId(machine_id))
         rented = len(outcome.machines)
         self._log(f"scaled out by {rented} of {key.type} in {key.zone}")
         if rented < request.count:
-            pool.refuse(now)
+            pool.record_refusal(now)
         else:
-            pool.granted()
-        self._adjust_at = now
+            pool.record_success()
+        self._next_adjust_at = now
--- a/src/crosscleat/core/capacity/unplaced_work.py
+++ b/src/crosscleat/core/capacity/unplaced_work.py
@@ -1,7 +1,7 @@
-"""Which waiting tasks the free capacity of the rented machines does not hold.
+"""Finds the waiting tasks that the free capacity of the rented machines can't hold.
 
-This is an estimate for scaling out, made without placing anything: tasks are counted into free
-capacity, the most urgent first. Scheduling cycles place them by their own rules.
+This is an estimate for scaling out and places nothing: tasks are counted into free capacity, the
+most urgent first. Scheduling cycles place tasks by their own rules.
 """
 
 from __future__ import annotations
@@ -26,32 +26,32 @@
 
 
 class UnplacedTasks(NamedTuple):
-    """Tasks of a job that wait, are within the team's quota, and find no free capacity."""
+    """Waiting tasks of a job that are within the team's quota and have no free capacity."""
 
     job: Job
     tasks: int
-    """How many."""
+    """Number of these tasks."""
 
 
 @dataclass(slots=True)
 class WaitingWork:
-    """What waits, as far as the teams' quotas admit it."""
+    """The waiting work that the teams' quotas admit."""
 
     requested_cpus: float
-    """CPUs in use and of all that waits; backfill is left out."""
+    """CPUs in use and CPUs of all waiting work, without backfill."""
     zones: ZoneLimits
-    """Where more tasks may be, beside those placed and those counted into free capacity."""
+    """What the jobs' zone constraints leave, besides tasks placed or counted into free capacity."""
     unplaced: list[UnplacedTasks] = field(default_factory=list)
-    """The most urgent and oldest jobs first."""
+    """Sorted by priority, then by age, the most urgent and oldest jobs first."""
     gang_machines: dict[JobRef, list[MachineId]] = field(default_factory=dict)
-    """The machines into whose free capacity tasks of a gang were counted."""
+    """The machines into whose free capacity tasks of each gang were counted."""
 
     def machines_of_gangs(self) -> frozenset[MachineId]:
-        """The machines whose free capacity waiting gangs count on."""
+        """All machines into whose free capacity tasks of waiting gangs were counted."""
         return frozenset(itertools.chain.from_iterable(self.gang_machines.values()))
 
     def lacking_cpus(self) -> float:
-        """CPUs of the unplaced tasks; backfill is left out."""
+        """CPUs of the unplaced tasks, without backfill."""
         return sum(
             unplaced.tasks * unplaced.job.spec.cpus
             for unplaced in self.unplaced
@@ -67,41 +67,41 @@
     report: WaitingReport,
 ) -> WaitingWork:
     """Count the waiting tasks into the free capacity of the machines."""
-    used_cpus = sum(use.by_team.values()) - use.backfill
+    used_cpus = sum(use.cpus_by_team.values()) - use.backfill_cpus
     work = WaitingWork(used_cpus, ZoneLimits(use.job_zones))
     waiting = sorted(
         (job for job in jobs if job.waiting_count() > 0),
         key=lambda job: (-job.spec.priority, job.submitted),
     )
-    counted = _WithinQuota(teams, use)
-    capacity = _CapacityLeft(
+    quotas = _QuotaUse(teams, use)
+    capacity = _RemainingCapacity(
         machines, min((job.spec.cpus for job in waiting), default=0.0) - ROUNDING, work
     )
     for job in waiting:
         if fails_repeatedly(job):
-            report.add(job, job.waiting_count(), WaitingReason.FAILS)
+            report.add(job, job.waiting_count(), WaitingReason.FAILS_REPEATEDLY)
             continue
-        count = counted.take(job)
-        report.add(job, job.waiting_count() - count, WaitingReason.OVER_QUOTA)
+        admitted = quotas.take(job)
+        report.add(job, job.waiting_count() - admitted, WaitingReason.OVER_QUOTA)
         if not job.backfill:
-            work.requested_cpus += count * job.spec.cpus
-        taken = capacity.take(job, count)
-        report.add(job, taken, WaitingReason.COUNTED)
-        if count > taken:
-            work.unplaced.append(UnplacedTasks(job, count - taken))
+            work.requested_cpus += admitted * job.spec.cpus
+        fitting = capacity.take(job, admitted)
+        report.add(job, fitting, WaitingReason.FITS_FREE_CAPACITY)
+        if admitted > fitting:
+            work.unplaced.append(UnplacedTasks(job, admitted - fitting))
     return work
 
 
-class _WithinQuota:
-    """Counts the waiting tasks that the quotas of their teams admit."""
+class _QuotaUse:
+    """Counts the waiting tasks that the teams' quotas admit, in addition to those placed."""
 
     def __init__(self, teams: Mapping[Team, TeamLimits], use: CapacityUse) -> None:
         self._teams = teams
-        self._cpus = dict(use.by_team)
+        self._cpus = dict(use.cpus_by_team)
         self._gpus = dict(use.gpus_by_team)
 
     def take(self, job: Job) -> int:
-        """Count in as many waiting tasks of the job as its team's quota admits; how many."""
+        """Count as many of the job's waiting tasks as its team's quota admits; return how many."""
         spec = job.spec
         cpus = self._cpus.get(spec.team, 0.0)
         gpus = self._gpus.get(spec.team, 0.0)
@@ -112,14 +112,14 @@
         return count
 
 
-class _CapacityLeft:
-    """Free capacity that no waiting task was counted into yet.
+class _RemainingCapacity:
+    """Free capacity that no waiting task has been counted into yet.
 
     Most machines are full and are left out: otherwise each job would look at all of them.
     """
 
     def __init__(self, machines: Iterable[Machine], min_cpus: float, work: WaitingWork) -> None:
-        """Machines with fewer free CPUs than `min_cpus` are full."""
+        """Machines with fewer free CPUs than `min_cpus` count as full."""
         self._min_cpus = min_cpus
         self._work = work
         self._candidates = [
@@ -127,19 +127,19 @@
         ]
 
     def take(self, job: Job, max_count: int) -> int:
-        """Count up to `max_count` of the job's tasks in; how many fitted."""
-        only_in = self._zone_for(job, max_count) if job.spec.one_zone else None
-        if max_count <= 0 or (job.spec.one_zone and only_in is None):
+        """Count up to `max_count` of the job's tasks into free capacity; return how many fit."""
+        required_zone = self._zone_for(job, max_count) if job.spec.one_zone else None
+        if max_count <= 0 or (job.spec.one_zone and required_zone is None):
             return 0
         left = max_count
-        filled = False
+        some_full = False
         for free in self._candidates:
             if left <= 0:
                 break
-            if only_in in (None, free.machine.zone) and _may_use(job, free):
+            if required_zone in (None, free.machine.zone) and _may_use(job, free):
                 left -= self._take_from(job, free, left)
-                filled = filled or free.cpus < self._min_cpus
-        if filled:
+                some_full = some_full or free.cpus < self._min_cpus
+        if some_full:
             self._candidates = [free for free in self._candidates if free.cpus >= self._min_cpus]
         return max_count - left
 
@@ -154,22 +154,23 @@
         return taken
 
     def _zone_for(self, job: Job, count: int) -> Zone | None:
-        """For a job that must be in one zone: one that has capacity for all, if any has.
+        """Choose the zone for a job whose tasks must all be in one zone.
 
-        Without one a gang uses none, and an array that with the most.
+        It is the first zone with capacity for all of them. If there is none, it is no zone for a
+        gang, and the zone with the most capacity for an array.
         """
-        held: dict[Zone, int] = {}
+        fitting: dict[Zone, int] = {}
         for free in self._candidates:
             zone = free.machine.zone
             if _may_use(job, free) and self._work.zones.admits(job.spec, zone):
-                held[zone] = held.get(zone, 0) + free.count_fitting(job.spec)
-                if held[zone] >= count:
+                fitting[zone] = fitting.get(zone, 0) + free.count_fitting(job.spec)
+                if fitting[zone] >= count:
                     return zone
-        return None if job.is_gang else max(held, key=held.__getitem__, default=None)
+        return None if job.is_gang else max(fitting, key=fitting.__getitem__, default=None)
 
 
 def _may_use(job: Job, free: FreeCapacity) -> bool:
-    """Whether a task of the job may be there, GPUs aside: those are counted when it is taken."""
+    """Whether a task of the job may be there; `take_up_to` checks GPUs, which are left out here."""
     spec = job.spec
     return (
         spec.cpus <= free.cpus + ROUNDING
--- a/src/crosscleat/core/control/heartbeat_receiver.py
+++ b/src/crosscleat/core/control/heartbeat_receiver.py
@@ -42,7 +42,7 @@
         if not self._may_answer(heartbeat, self._term.election.token, now):
             self._refuse(request)
             return
-        machine = self._machines.enter_reported(heartbeat)
+        machine = self._machines.add_reported(heartbeat)
         if self._processing.is_outdated(machine, heartbeat):
             # Late or repeated: the worker no longer waits for the answer and would drop it.
             self._refuse(request)
--- a/src/crosscleat/core/control/liveness.py
+++ b/src/crosscleat/core/control/liveness.py
@@ -66,7 +66,7 @@
         self._quiet_zones: set[Zone] = set()
         """Zones where so many machines are silent that the network, or more, must be at fault."""
 
-    def given_up(self, machine: Machine, now: Seconds) -> None:
+    def record_silence_deletion(self, machine: Machine, now: Seconds) -> None:
         """The machine was deleted for its silence."""
         self._silenced.append((now, machine.zone))
 
--- a/src/crosscleat/core/control/takeover.py
+++ b/src/crosscleat/core/control/takeover.py
@@ -39,7 +39,7 @@
             leader.gangs.resume(job)
         leader.pending.record_end_if_over(job)
     for machine_id in leader.decommission_records.load(decommission_records):
-        machine = leader.machines.enter_recorded(machine_id)
+        machine = leader.machines.add_recorded(machine_id)
         machine.decommissioning = machine.decommission_recorded = True
 
 
@@ -47,7 +47,7 @@
     """Every placement on record may have been started by the earlier leader."""
     for chunk in job.chunks.values():
         for number, placed in chunk.placed.items():
-            machine = leader.machines.enter_recorded(placed.machine)
+            machine = leader.machines.add_recorded(placed.machine)
             allocation = Allocation(
                 TaskId(job.ref, number),
                 placed.attempt,
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -60,4 +60,4 @@
 def refuse_spot(fleet: Fleet) -> None:
     for machine_type in TYPES:
         for zone in machine_type.zones:
-            fleet.catalog.pool(PoolKey(machine_type.name, zone, True)).refuse(NOW)
+            fleet.catalog.pool(PoolKey(machine_type.name, zone, True)).record_refusal(NOW)
--- a/tests/test_interruptions.py
+++ b/tests/test_interruptions.py
@@ -10,7 +10,7 @@
 from crosscleat.core.capacity.capacity_targets import CapacityUse
 from crosscleat.core.capacity.demand import Demand
 from crosscleat.core.capacity.fleet import Fleet
-from crosscleat.core.capacity.interruptions import MAX_AT_ONCE, InterruptionStats
+from crosscleat.core.capacity.interruptions import MAX_INTERRUPTIONS_PER_RECORD, InterruptionStats
 from crosscleat.core.capacity.pools import ScaleOutRequest
 from crosscleat.core.model.deployment import TuningOptions
 from crosscleat.core.model.ids import MachineId, Seconds, Team, Version, Zone
@@ -69,7 +69,7 @@
 
     stats.record_uptime(1.0, 100)
 
-    assert before < stats.rate <= before + MAX_AT_ONCE / 10_000.0
+    assert before < stats.rate <= before + MAX_INTERRUPTIONS_PER_RECORD / 10_000.0
 
 
 @pytest.mark.parametrize(("at_risk", "expected"), [(True, "m-on-demand"), (False, "m-spot")])
@@ -99,7 +99,7 @@
     ]
 
     def request(at: float, at_risk_cpus: float) -> ScaleOutRequest | None:
-        use = CapacityUse({Team("blue"): 60.0}, at_risk=at_risk_cpus)
+        use = CapacityUse({Team("blue"): 60.0}, at_risk_cpus=at_risk_cpus)
         return made.next_scale_out([], spot, TEAMS, use, Seconds(at))
 
     for second in range(100):
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -218,7 +218,7 @@
         running = job_waiting_for(30.0, tasks=10)
         running.backfill = backfills
         for second in range(60):
-            use = CapacityUse({"blue": 8.0}, backfill=8.0 if backfills else 0.0)
+            use = CapacityUse({"blue": 8.0}, backfill_cpus=8.0 if backfills else 0.0)
             made.next_scale_out([running], full_machines(10), TEAMS, use, Seconds(NOW + second))
         kept[backfills] = made.targets.demand.mean()
 
--- a/tests/test_rentals.py
+++ b/tests/test_rentals.py
@@ -86,11 +86,11 @@
         calls[-1].continuation(RentalUnanswered())
         calls.append(rental(term))
     assert {call.name for call in calls} == {calls[0].name}
-    assert pool(term).open(term.now)
+    assert pool(term).is_open(term.now)
 
     calls[-1].continuation(RentalUnanswered())
     assert not [effect for effect in term.outbox.take() if isinstance(effect, Rent)]
-    assert not pool(term).open(term.now)
+    assert not pool(term).is_open(term.now)
 
 
 def test_a_refused_rental_is_not_repeated_and_closes_the_pool_for_a_while() -> None:
@@ -98,10 +98,10 @@
     term.leader.autoscaler.rent(ScaleOutRequest(POOL, 2))
     rental(term).continuation(RentalRefused())
     assert not [effect for effect in term.outbox.take() if isinstance(effect, Rent)]
-    assert not pool(term).open(term.now)
+    assert not pool(term).is_open(term.now)
 
     term.step(10.0)
-    assert pool(term).open(term.now)
+    assert pool(term).is_open(term.now)
 
 
 @pytest.mark.parametrize(("machines", "open_after"), [(["m-1"], False), (["m-1", "m-2"], True)])
@@ -114,7 +114,7 @@
     rental(term).continuation(Rented(machines))
 
     assert list(term.leader.cluster.machines) == machines
-    assert pool(term).open(term.now) == open_after
+    assert pool(term).is_open(term.now) == open_after
 
 
 def test_an_outcome_after_the_term_changes_nothing() -> None:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from crosscleat.core.capacity.capacity_targets import CapacityUse
-from crosscleat.core.capacity.fleet import MAX_PRICED, Fleet
+from crosscleat.core.capacity.fleet import MAX_PRICED_JOBS, Fleet
 from crosscleat.core.capacity.machine_watch import MachineWatch
 from crosscleat.core.capacity.machines import Machines
 from crosscleat.core.capacity.pool_catalog import PoolCatalog
@@ -148,7 +148,7 @@
 
     assert request is not None
     assert request.count == MAX_PER_RENTAL
-    assert 0 < priced[0] <= MAX_PRICED
+    assert 0 < priced[0] <= MAX_PRICED_JOBS
 
 
 SIZES = pytest.mark.parametrize("machines", [4_000, 6_000])
--- a/tests/test_waiting_reasons.py
+++ b/tests/test_waiting_reasons.py
@@ -40,7 +40,7 @@
             for spot in (True,) if spot_only else (True, False):
                 pool = scale_out.leader.fleet.catalog.pool(PoolKey(name, Zone(zone), spot))
                 pool.backoff_s = MAX_BACKOFF_S
-                pool.refuse(scale_out.now)
+                pool.record_refusal(scale_out.now)
 
 
 def test_the_log_says_that_tasks_are_counted_into_free_capacity() -> None:
@@ -48,7 +48,10 @@
     scale_out.add_machine("m-0")
     scale_out.add_job("job-1", tasks=2)
 
-    assert f"job job-1: 2 tasks wait, no rental: {WaitingReason.COUNTED.value}" in logged(scale_out)
+    assert (
+        f"job job-1: 2 tasks wait, no rental: {WaitingReason.FITS_FREE_CAPACITY.value}"
+        in logged(scale_out)
+    )
 
 
 def test_the_log_says_that_tasks_are_over_the_quota() -> None:
@@ -65,7 +68,9 @@
     failing = scale_out.add_job("job-1", tasks=2)
     failing.failed_on |= {MachineId("m-0"), MachineId("m-1")}
 
-    assert f"job job-1: 2 tasks wait, no rental: {WaitingReason.FAILS.value}" in logged(scale_out)
+    assert f"job job-1: 2 tasks wait, no rental: {WaitingReason.FAILS_REPEATEDLY.value}" in logged(
+        scale_out
+    )
 
 
 def test_the_log_says_that_pools_are_closed() -> None:
@@ -121,8 +126,9 @@
     scale_out.add_job("job-1", tasks=1, zone=Zone("a"), priority=Priority.HIGH)
     scale_out.add_job("job-2", tasks=1, zone=Zone("b"))
 
-    assert f"job job-2: 1 tasks wait, no rental: {WaitingReason.NOT_FIRST.value}" in logged(
-        scale_out
+    assert (
+        f"job job-2: 1 tasks wait, no rental: {WaitingReason.OTHER_RENTAL_FIRST.value}"
+        in logged(scale_out)
     )
 
 
@@ -136,7 +142,10 @@
     scale_out.leader.fleet._estimates = FixedTarget(1_000.0)
     scale_out.add_job("job-1", team=BLUE, tasks=1, estimate_s=1.0)
 
-    assert f"job job-1: 1 tasks wait, no rental: {WaitingReason.PATIENT.value}" in logged(scale_out)
+    assert (
+        f"job job-1: 1 tasks wait, no rental: {WaitingReason.AWAITS_OTHER_TASKS.value}"
+        in logged(scale_out)
+    )
 
 
 def test_a_report_names_a_few_of_many_jobs_and_comes_seldom() -> None:
