--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -1,4 +1,4 @@
-"""A fleet on its own, and jobs that wait for machines, for the tests."""
+"""Test helpers: a fleet without a leader, full machines, and jobs that wait for machines."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FixedTarget:
-    """All jobs have the same completion target and run for as long as they estimate."""
+    """Estimates with the same completion target for all jobs, and the run time that users give."""
 
     target_s: float
 
--- a/tests/scale_out.py
+++ b/tests/scale_out.py
@@ -1,4 +1,4 @@
-"""A leader's machines, waiting jobs and rentals, for the tests of scaling out."""
+"""Test helper for scaling out: a leader with machines, waiting jobs and rentals."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .world import TYPES, job
 
 DISCOVERY_S = 5.0
-"""A new leader rents nothing before its machines have had time to report."""
+"""Seconds after which a new leader rents: its machines have had time to report."""
 
 
 class ScaleOut(Term):
@@ -28,7 +28,7 @@
     def add_machine(
         self, name: str, zone: str = "a", type_index: int = 1, spot: bool = True
     ) -> Machine:
-        """A machine that is up and empty."""
+        """Add a machine that is up and empty."""
         machine = Machine(MachineId(name), TYPES[type_index], Zone(zone), spot)
         self.leader.cluster.machines[machine.id] = machine
         self._report(machine)
@@ -40,13 +40,13 @@
         machine.last_heartbeat_at = machine.idle_since = self.now
 
     def add_job(self, ref: str, waited_s: float = 30.0, **changes: Any) -> Job:
-        """A job that has waited for so long."""
-        added = Job(job(ref, **changes), Version(1), Seconds(self.now - waited_s))
-        self.leader.jobs[added.ref] = added
-        return added
+        """Add a job that was submitted `waited_s` seconds ago."""
+        new_job = Job(job(ref, **changes), Version(1), Seconds(self.now - waited_s))
+        self.leader.jobs[new_job.ref] = new_job
+        return new_job
 
     def place(self, waiting: Job, machine: Machine) -> Allocation:
-        """The job's next task runs on the machine."""
+        """Place the job's next task on the machine, where it runs at once."""
         task, attempt = waiting.place(machine.id, AgentEpoch(1))
         allocation = Allocation(
             task, attempt, waiting.spec, machine.id, machine.zone, AgentEpoch(1)
@@ -57,14 +57,14 @@
         return allocation
 
     def adjust(self, after_s: float = 1.5) -> list[Rent]:
-        """The rentals that are requested in a while."""
+        """Let `after_s` seconds pass, adjust the fleet, and return the requested rentals."""
         self.step(after_s)
         self.outbox.take()
         self.leader.autoscaler.adjust(self.now)
         return [effect for effect in self.outbox.take() if isinstance(effect, Rent)]
 
     def grant(self, request: Rent, boots: bool = True) -> list[Machine]:
-        """Answer with all machines asked for; with `boots`, they are up at once."""
+        """Answer with all machines that were requested; with `boots`, they are up at once."""
         names = [f"{request.name}-{number}" for number in range(request.count)]
         request.continuation(Rented(list(names)))
         machines = [self.leader.cluster.machines[MachineId(name)] for name in names]
@@ -77,13 +77,13 @@
         request.continuation(RentalRefused())
 
     def serve(self, seconds: int, refused: tuple[str, ...] = ()) -> list[Rent]:
-        """Answer all rentals for so long: all in the refused zones, none in the others."""
-        found = []
+        """Answer the rentals of the next seconds: refuse those in `refused` zones, grant others."""
+        requests = []
         for _ in range(seconds):
             for request in self.adjust(1.0):
-                found.append(request)
+                requests.append(request)
                 if request.zone in refused:
                     self.refuse(request)
                 else:
                     self.grant(request)
-        return found
+        return requests
--- a/tests/test_rentals.py
+++ b/tests/test_rentals.py
@@ -1,4 +1,9 @@
-"""What a rental may result in: how the cloud's answers are read, and what the leader does then."""
+"""How the cloud's answers to a rental are read, and what the leader does then.
+
+The tests guard against an answer that is taken for another outcome: only an unanswered rental is
+repeated, under its name so that nothing is rented twice, and a pool that had too few machines is
+not asked again at once.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +34,7 @@
 
 
 async def outcome_of(status: int, body: bytes) -> RentalOutcome:
-    """What the client makes of an answer of the cloud."""
+    """The outcome that the client derives from an answer of the cloud."""
 
     async def answer(_: web.Request) -> web.Response:
         return web.Response(status=status, body=body)
@@ -69,7 +74,7 @@
 
 
 def rental(term: Term) -> Rent:
-    """The one rental call that the leader has sent."""
+    """The only rental call that the leader has sent."""
     (call,) = [effect for effect in term.outbox.take() if isinstance(effect, Rent)]
     return call
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,4 +1,9 @@
-"""With thousands of machines: how often each is looked at, and who gets the sockets."""
+"""The cost of decisions with thousands of machines or jobs, and limits on sockets and messages.
+
+The tests guard against work that grows with the number of machines, jobs or tasks, by counting
+calls: such work once took a leader longer than the interval of its cycles, and leaders lost their
+leases under it. Others guard against running out of sockets and against frames that are too long.
+"""
 
 from __future__ import annotations
 
@@ -42,14 +47,14 @@
 from .world import TYPES, deployment, job
 
 MACHINES = 1_000
-WITH_ROOM = 20
+FREE_MACHINES = 20
 JOBS = 100
 NOW = Seconds(500.0)
 TEAMS = {Team("red"): TeamLimits(Team("red"), 0.0, 0.0, 0.0, 0.0)}
 
 
-def flooded(count: int = MACHINES) -> tuple[list[Job], list[Machine]]:
-    """Many jobs wait, with large tasks among them, and nearly all machines are full."""
+def overloaded_cluster(count: int = MACHINES) -> tuple[list[Job], list[Machine]]:
+    """Many waiting jobs, some with large tasks, and machines of which nearly all are full."""
     jobs = [
         Job(job(f"job-{n}", tasks=30, cpus=4.0 if n % 2 else 1.0), Version(1), Seconds(NOW - 50.0))
         for n in range(JOBS)
@@ -57,21 +62,21 @@
     machines = [
         Machine(MachineId(f"m-{n}"), TYPES[1], Zone("ab"[n % 2]), True) for n in range(count)
     ]
-    for machine in machines[WITH_ROOM:]:
+    for machine in machines[FREE_MACHINES:]:
         machine.used_cpus = 7.5
     return jobs, machines
 
 
-def a_thousand_jobs() -> list[Job]:
-    """Jobs of one task each that have waited for a while."""
+def thousand_jobs() -> list[Job]:
+    """A thousand jobs of one task each that have waited for a while."""
     return [
         Job(job(f"job-{n}", tasks=1, cpus=4.0), Version(1), Seconds(NOW - 50.0))
         for n in range(1_000)
     ]
 
 
-def counted(monkeypatch: pytest.MonkeyPatch, cls: type, name: str) -> list[int]:
-    """Counts the calls of a method."""
+def count_calls(monkeypatch: pytest.MonkeyPatch, cls: type, name: str) -> list[int]:
+    """Count the calls of a method; the only item of the list is their number."""
     calls = [0]
     method = getattr(cls, name)
 
@@ -86,9 +91,9 @@
 def test_a_scheduling_cycle_looks_at_full_machines_once_and_not_once_a_job(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    jobs, machines = flooded()
-    allowed = counted(monkeypatch, Machine, "allows")
-    ranked = counted(monkeypatch, Feasibility, "admits")
+    jobs, machines = overloaded_cluster()
+    allowed = count_calls(monkeypatch, Machine, "allows")
+    ranked = count_calls(monkeypatch, Feasibility, "admits")
     scorer = Scorer(deployment("c0"), RunTimes())
 
     planned = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1)).plan(
@@ -96,34 +101,36 @@
     )
 
     assert len(planned) >= 30, "a sample that includes full machines would find a third of them"
-    assert {assignment.machine for assignment in planned} <= {m.id for m in machines[:WITH_ROOM]}
-    assert ranked[0] <= 2 * JOBS * WITH_ROOM
-    assert allowed[0] <= 3 * JOBS * WITH_ROOM
+    assert {assignment.machine for assignment in planned} <= {
+        m.id for m in machines[:FREE_MACHINES]
+    }
+    assert ranked[0] <= 2 * JOBS * FREE_MACHINES
+    assert allowed[0] <= 3 * JOBS * FREE_MACHINES
 
 
 def test_scaling_out_looks_at_full_machines_once_and_not_once_a_job(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    jobs, machines = flooded()
+    jobs, machines = overloaded_cluster()
     for machine in machines:
         machine.has_sent_heartbeat = True
-    taken = counted(monkeypatch, FreeCapacity, "take_up_to")
+    taken = count_calls(monkeypatch, FreeCapacity, "take_up_to")
     types = {machine_type.name: machine_type for machine_type in TYPES}
     fleet = Fleet(TuningOptions(), types, FixedTarget(60.0))
 
     request = fleet.next_scale_out(jobs, machines, TEAMS, CapacityUse(), NOW)
 
     assert request is not None
-    assert 0 < taken[0] <= JOBS * WITH_ROOM
+    assert 0 < taken[0] <= JOBS * FREE_MACHINES
 
 
 def test_a_scheduling_cycle_looks_at_a_sample_of_a_thousand_jobs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # hunt-d090-3: cycles for 800 jobs of one task took the leader longer than their interval.
-    jobs = a_thousand_jobs()
+    jobs = thousand_jobs()
     machines = [Machine(MachineId(f"m-{n}"), TYPES[1], Zone("a"), True) for n in range(200)]
-    ranked = counted(monkeypatch, Feasibility, "admits")
+    ranked = count_calls(monkeypatch, Feasibility, "admits")
     scorer = Scorer(deployment("c0"), RunTimes())
 
     planned = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1)).plan(
@@ -139,8 +146,8 @@
 ) -> None:
     # hunt-d090-3: each second 800 jobs were compared with 16 machine types in turn; under that
     # load several leaders lost their leases.
-    jobs = a_thousand_jobs()
-    priced = counted(monkeypatch, PoolCatalog, "cheapest_for_job")
+    jobs = thousand_jobs()
+    priced = count_calls(monkeypatch, PoolCatalog, "cheapest_for_job")
     types = {machine_type.name: machine_type for machine_type in TYPES}
     fleet = Fleet(TuningOptions(), types, FixedTarget(60.0))
 
@@ -151,11 +158,11 @@
     assert 0 < priced[0] <= MAX_PRICED_JOBS
 
 
-SIZES = pytest.mark.parametrize("machines", [4_000, 6_000])
+MACHINE_COUNTS = pytest.mark.parametrize("machines", [4_000, 6_000])
 ZONE_LIMITS = pytest.mark.parametrize("constraint", ["spread", "one_zone"])
 
 
-@SIZES
+@MACHINE_COUNTS
 @ZONE_LIMITS
 @pytest.mark.parametrize("shape", [Shape.ARRAY, Shape.GANG])
 def test_scaling_out_for_zone_limited_jobs_stops_where_all_tasks_are_counted(
@@ -171,8 +178,8 @@
         Job(job(f"job-{n}", tasks=4, cpus=2.0, **limits), Version(1), Seconds(NOW - 50.0))
         for n in range(JOBS)
     ]
-    taken = counted(monkeypatch, FreeCapacity, "take_up_to")
-    fitting = counted(monkeypatch, FreeCapacity, "count_fitting")
+    taken = count_calls(monkeypatch, FreeCapacity, "take_up_to")
+    fitting = count_calls(monkeypatch, FreeCapacity, "count_fitting")
     types = {machine_type.name: machine_type for machine_type in TYPES}
 
     Fleet(TuningOptions(), types, FixedTarget(60.0)).next_scale_out(
@@ -183,11 +190,11 @@
     assert fitting[0] <= 12 * JOBS
 
 
-@SIZES
-def test_patience_is_judged_by_kinds_of_machines_and_not_by_each_one(
+@MACHINE_COUNTS
+def test_waiting_for_free_capacity_is_decided_by_kinds_of_machines_and_not_by_each_one(
     monkeypatch: pytest.MonkeyPatch, machines: int
 ) -> None:
-    # A job that fits on no machine asked each of them, once a second.
+    # A job that fitted on no machine was once compared with each of them, every second.
     full = [
         Machine(MachineId(f"m-{n}"), TYPES[0], Zone("ab"[n % 2]), True) for n in range(machines)
     ]
@@ -198,8 +205,8 @@
         Job(job(f"job-{n}", tasks=1, cpus=8.0, spread=True), Version(1), Seconds(NOW - 50.0))
         for n in range(JOBS)
     ]
-    allowed = counted(monkeypatch, Machine, "allows")
-    fits = counted(monkeypatch, MachineType, "has_capacity_for")
+    allowed = count_calls(monkeypatch, Machine, "allows")
+    fits = count_calls(monkeypatch, MachineType, "has_capacity_for")
     types = {machine_type.name: machine_type for machine_type in TYPES}
 
     Fleet(TuningOptions(), types, FixedTarget(60.0)).next_scale_out(
@@ -210,16 +217,16 @@
     assert fits[0] <= 10 * JOBS
 
 
-@SIZES
+@MACHINE_COUNTS
 @pytest.mark.parametrize("shape", [Shape.ARRAY, Shape.GANG])
-def test_zones_are_asked_for_no_more_often_with_more_machines(
+def test_checks_of_zone_limits_do_not_grow_with_the_number_of_machines(
     monkeypatch: pytest.MonkeyPatch, machines: int, shape: Shape
 ) -> None:
-    # A job's share of a zone is asked for once for each kind of machines and each zone.
-    asked = counted(monkeypatch, Feasibility, "tasks_left_in_zone")
+    # A job's share of a zone is computed once for each kind of machine and each zone.
+    zone_checks = count_calls(monkeypatch, Feasibility, "tasks_left_in_zone")
     calls = []
     for number in (machines, 2 * machines):
-        _, found = flooded(number)
+        _, candidates = overloaded_cluster(number)
         jobs = [
             Job(
                 job(f"job-{n}", tasks=10, cpus=4.0, spread=True, shape=shape),
@@ -229,18 +236,18 @@
             for n in range(JOBS)
         ]
         scorer = Scorer(deployment("c0"), RunTimes())
-        asked[0] = 0
+        zone_checks[0] = 0
         SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1)).plan(
-            jobs, found, 48
+            jobs, candidates, 48
         )
-        calls.append(asked[0])
+        calls.append(zone_checks[0])
 
     assert calls[0] > 0
     assert calls[1] == calls[0]
 
 
 def test_jobs_that_fit_nowhere_leave_the_scheduling_cycle_to_others() -> None:
-    leader_of_machines = [
+    large = [
         Job(job(f"job-l{n}", tasks=1, cpus=8.0, priority=Priority.HIGH), Version(1), NOW)
         for n in range(300)
     ]
@@ -250,7 +257,7 @@
     scorer = Scorer(deployment("c0"), RunTimes())
 
     planned = SchedulingCycle(CycleContext(ClusterState(), TEAMS, NOW), scorer, Random(1)).plan(
-        leader_of_machines + small, [machine], 48
+        large + small, [machine], 48
     )
 
     assert len(planned) == 4
@@ -274,15 +281,15 @@
     return term
 
 
-@SIZES
+@MACHINE_COUNTS
 def test_the_machines_looked_at_per_second_do_not_grow_with_their_number(
     monkeypatch: pytest.MonkeyPatch, machines: int
 ) -> None:
-    # With 4,000 machines a tick, ten times a second, took a tenth of what it may take at 43% of a
-    # core, and a scheduling cycle, up to seven times a second, took twice that.
+    # With 4,000 machines a tick (ten a second) took a tenth of the time that it may take at 43% of
+    # a core, and a scheduling cycle (up to seven a second) took twice that.
     term = leader_of_machines(machines)
-    watched = counted(monkeypatch, MachineWatch, "watch")
-    looked_at = counted(monkeypatch, Machines, "usable")
+    watched = count_calls(monkeypatch, MachineWatch, "watch")
+    looked_at = count_calls(monkeypatch, Machines, "usable")
     for _ in range(60):
         term.step(0.1)
         for machine in term.leader.cluster.machines.values():
@@ -295,9 +302,9 @@
     assert looked_at[0] <= 6 * 1.3 * PROMPT_MACHINES / 0.15
 
 
-@SIZES
+@MACHINE_COUNTS
 def test_a_shard_with_all_machines_fits_a_frame(machines: int) -> None:
-    # A longer frame makes the receiver close the link, every five seconds.
+    # The receiver closes the link on a longer frame, which would happen every five seconds.
     term = leader_of_machines(machines)
     images = {f"image-{number:04d}": Seconds(0.0) for number in range(10)}
     for machine in term.leader.cluster.machines.values():
@@ -353,8 +360,8 @@
         term.leader.cluster.add(machine, allocation)
     for chunk in gang.chunks.values():
         chunk.recorded = chunk.known_placements()
-    found = counted(monkeypatch, ClusterState, "find")
-    unrecorded = counted(monkeypatch, Chunk, "has_unrecorded")
+    lookups = count_calls(monkeypatch, ClusterState, "find")
+    unrecorded = count_calls(monkeypatch, Chunk, "has_unrecorded")
     term.leader.write_outcomes.placements_recorded(gang, list(range(spec.tasks)))
 
     term.leader.commands.send_direct(term.now)
@@ -362,5 +369,5 @@
     assert (
         sum(len(e.orders) for e in term.outbox.take() if isinstance(e, DirectCommand)) == spec.tasks
     )
-    assert found[0] <= 2 * spec.tasks
+    assert lookups[0] <= 2 * spec.tasks
     assert unrecorded[0] <= 3 * len(gang.chunks)
--- a/tests/test_waiting_reasons.py
+++ b/tests/test_waiting_reasons.py
@@ -1,7 +1,8 @@
-"""What the log says of jobs that wait while nothing is rented for them.
+"""The log gives the reason for which nothing is rented for a waiting job.
 
-Of a spread gang that waited for good the log said nothing: whether it was counted as fitting, over
-its quota, too patient or without open pools could not be told apart.
+The tests guard against a job that waits without a reason in the log. For a spread gang that never
+started, the log did not show whether its tasks were counted into free capacity, were over the
+quota, waited for other tasks to end, or had no open pool.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 def logged(scale_out: ScaleOut) -> list[str]:
-    """The log lines of the next adjustments, until a report is due again."""
+    """The log lines of the next 31 seconds, in which a report is due at least once."""
     lines = []
     for _ in range(31):
         scale_out.step(1.0)
@@ -34,7 +35,7 @@
 
 
 def close_pools(scale_out: ScaleOut, zones: str = "ab", spot_only: bool = False) -> None:
-    """The pools of these zones have refused for long."""
+    """Close the pools of these zones, as after many refusals."""
     for name in scale_out.leader.fleet.types:
         for zone in zones:
             for spot in (True,) if spot_only else (True, False):
@@ -138,7 +139,9 @@
         machine = scale_out.add_machine(f"m-{number}")
         scale_out.place(scale_out.add_job(f"job-on-{number}", tasks=1, cpus=8.0), machine)
     types = scale_out.leader.fleet.types
-    types.update({name: replace(found, boot_s=600.0) for name, found in types.items()})
+    types.update(
+        {name: replace(machine_type, boot_s=600.0) for name, machine_type in types.items()}
+    )
     scale_out.leader.fleet._estimates = FixedTarget(1_000.0)
     scale_out.add_job("job-1", team=BLUE, tasks=1, estimate_s=1.0)
 
@@ -148,7 +151,7 @@
     )
 
 
-def test_a_report_names_a_few_of_many_jobs_and_comes_seldom() -> None:
+def test_reports_of_waiting_jobs_are_limited_in_length_and_rate() -> None:
     scale_out = ScaleOut()
     close_pools(scale_out)
     for number in range(200):
