--- a/tests/test_rentals.py
+++ b/tests/test_rentals.py
@@ -1,4 +1,9 @@
-"""What a rental may result in: how the cloud's answers are read, and what the leader does then."""
+"""How the cloud's answers to a rental are read, and what the leader does then.
+
+The tests guard against an answer that is taken for another outcome: only an unanswered rental is
+repeated, under its name so that nothing is rented twice, and a pool that had too few machines is
+not asked again at once.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +34,7 @@
 
 
 async def outcome_of(status: int, body: bytes) -> RentalOutcome:
-    """What the client makes of an answer of the cloud."""
+    """The outcome that the client derives from an answer of the cloud."""
 
     async def answer(_: web.Request) -> web.Response:
         return web.Response(status=status, body=body)
@@ -69,7 +74,7 @@
 
 
 def rental(term: Term) -> Rent:
-    """The one rental call that the leader has sent."""
+    """The only rental call that the leader has sent."""
     (call,) = [effect for effect in term.outbox.take() if isinstance(effect, Rent)]
     return call
 
@@ -86,11 +91,11 @@
         calls[-1].continuation(RentalUnanswered())
         calls.append(rental(term))
     assert {call.name for call in calls} == {calls[0].name}
-    assert pool(term).open(term.now)
+    assert pool(term).is_open(term.now)
 
     calls[-1].continuation(RentalUnanswered())
     assert not [effect for effect in term.outbox.take() if isinstance(effect, Rent)]
-    assert not pool(term).open(term.now)
+    assert not pool(term).is_open(term.now)
 
 
 def test_a_refused_rental_is_not_repeated_and_closes_the_pool_for_a_while() -> None:
@@ -98,10 +103,10 @@
     term.leader.autoscaler.rent(ScaleOutRequest(POOL, 2))
     rental(term).continuation(RentalRefused())
     assert not [effect for effect in term.outbox.take() if isinstance(effect, Rent)]
-    assert not pool(term).open(term.now)
+    assert not pool(term).is_open(term.now)
 
     term.step(10.0)
-    assert pool(term).open(term.now)
+    assert pool(term).is_open(term.now)
 
 
 @pytest.mark.parametrize(("machines", "open_after"), [(["m-1"], False), (["m-1", "m-2"], True)])
@@ -114,7 +119,7 @@
     rental(term).continuation(Rented(machines))
 
     assert list(term.leader.cluster.machines) == machines
-    assert pool(term).open(term.now) == open_after
+    assert pool(term).is_open(term.now) == open_after
 
 
 def test_an_outcome_after_the_term_changes_nothing() -> None:
