--- a/src/crosscleat/core/capacity/machine_watch.py
+++ b/src/crosscleat/core/capacity/machine_watch.py
@@ -88,7 +88,7 @@
     def _boot_deadline(self, machine: Machine) -> float:
         max_boot_s = MAX_BOOT_FACTOR * machine.type.boot_s + MAX_BOOT_SLACK_S
         # In a new term a machine may be up and not have reported yet.
-        return max(machine.created_at + max_boot_s, self._term.began + self._liveness.silent_s)
+        return max(machine.created_at + max_boot_s, self._term.began_at + self._liveness.silent_s)
 
     def _end_expired_lease(self, machine: Machine, now: Seconds) -> None:
         lease_s = self._term.deployment.lease_s * CLOCK_DRIFT + LEASE_SLACK_S
--- a/src/crosscleat/core/capacity/machines.py
+++ b/src/crosscleat/core/capacity/machines.py
@@ -84,9 +84,11 @@
     def _enter(self, machine: Machine) -> Machine:
         term = self._term
         machine.created_at = machine.last_heartbeat_at = term.now
-        machine.direct.pending_start_token = term.began_token - 1
+        machine.direct.pending_start_token = term.initial_token - 1
         # An earlier leader renewed no lease later than this after our election.
-        machine.last_possible_renewal = Seconds(term.began + term.renewal_window_s() * CLOCK_DRIFT)
+        machine.last_possible_renewal = Seconds(
+            term.began_at + term.renewal_window_s() * CLOCK_DRIFT
+        )
         self._cluster.machines[machine.id] = machine
         return machine
 
--- a/src/crosscleat/core/capacity/scaling.py
+++ b/src/crosscleat/core/capacity/scaling.py
@@ -176,7 +176,7 @@
         """
         interval_s = self._term.deployment.heartbeat_interval_s
         wait_s = min(MAX_DISCOVERY_S, interval_s * DISCOVERY_HEARTBEATS)
-        return not self._expects_machines or now - self._term.began > wait_s
+        return not self._expects_machines or now - self._term.began_at > wait_s
 
     # Money
 
@@ -218,7 +218,7 @@
         self._rentals += 1
         # The token is this term's alone: no other controller, nor an earlier process of this one,
         # uses the same name.
-        self._send(f"r-{self._term.began_token}-{self._rentals}", request, 1)
+        self._send(f"r-{self._term.initial_token}-{self._rentals}", request, 1)
 
     def _send(self, name: str, request: ScaleOutRequest, attempt: int) -> None:
         pool = request.pool
--- a/src/crosscleat/core/control/__init__.py
+++ b/src/crosscleat/core/control/__init__.py
@@ -1,19 +1,21 @@
-"""The controller: inputs go to the users' requests, to the election and to the leader of a term.
+"""The controller: dispatches inputs to the user requests, the election and the leader of a term.
 
-Owns the flow of a step: what heartbeats prove, commands to workers, transactions, liveness of
-machines, and when scheduling and scaling run. May import: every other package of the core.
+Owns the control flow of a step: heartbeat processing, commands to workers, transactions, machine
+liveness, and when scheduling and scaling run. May import: every other package of the core.
 
-- Every controller: `controller` takes each input; `user_requests`, `status_queries` and `live_jobs`
-  answer users.
-- A term begins: `job_watch` reads the store, `assembly` builds a `leader`, `takeover` fills it.
-- Jobs: `job_changes` applies what users change, `writer` writes, `write_outcomes` acts on what has
-  been written, `progress` counts for display.
-- Workers: `heartbeat_receiver` answers heartbeats, `heartbeat_processing` and `task_statuses` apply
-  them, `orders` says what each is to do, `commands` sends it.
-- Contact: `response_check` finds workers that do not receive our answers, `liveness` those that
-  are silent, `worker_contact` says whether workers reach this leader at all.
+- Every controller: `controller` handles each input; `user_requests`, `status_queries` and
+  `live_jobs` answer users.
+- Start of a term: `job_watch` reads the store, `assembly` builds a `leader`, and `takeover` loads
+  the stored records into it.
+- Jobs: `job_changes` applies submissions and cancellations, `writer` writes to the store,
+  `write_outcomes` handles the results, and `progress` counts tasks for display.
+- Workers: `heartbeat_receiver` responds to heartbeats, `heartbeat_processing` and `task_statuses`
+  apply them, `orders` computes the orders for each worker, and `commands` sends them.
+- Contact: `response_check` detects workers that do not receive our responses, `liveness` detects
+  silent machines, and `worker_contact` whether any worker can reach this leader.
 - Attempts: `attempts` stops and ends them, `retries` decides when the next one may start,
-  `gang_control` keeps gangs whole, `evacuation` empties machines.
-- Planning: `scheduler` runs `cycle_factory`'s cycles and `placer` commits what they choose.
-- `pending_work` holds the marks that these parts leave each other.
+  `gang_control` replaces or stops incomplete gangs, and `evacuation` empties machines.
+- Planning: `scheduler` runs the cycles built by `cycle_factory`, and `placer` commits the
+  resulting assignments.
+- `pending_work` holds the requests and flags through which these parts notify each other.
 """
--- a/src/crosscleat/core/control/controller.py
+++ b/src/crosscleat/core/control/controller.py
@@ -1,7 +1,7 @@
-"""The controller: one state machine without input or output of its own.
+"""The controller: a state machine that performs no I/O itself.
 
-`Controller.step` takes an input and returns the effects that are to be carried out. Users' requests
-are answered by every controller; the `Leader` exists only while this one holds the leader key.
+`Controller.step` takes an input and returns the effects for the caller to carry out. Every
+controller answers user requests; the `Leader` exists only while this one holds the leader key.
 """
 
 from __future__ import annotations
@@ -41,18 +41,18 @@
 from .takeover import load_records
 from .user_requests import UserRequests
 
-PROGRESS_S = 1.0
-"""How often the leader sends the other controllers the counts of tasks that have changed."""
+PROGRESS_INTERVAL_S = 1.0
+"""Interval at which the leader sends changed task counts to the other controllers."""
 
-LIST_TYPES_S = 60.0
-"""How often the machine types are read: their prices change."""
+LIST_TYPES_INTERVAL_S = 60.0
+"""Interval at which the machine types are read again, because their prices change."""
 
 LIST_TYPES_RETRY_S = 0.5
-"""Before they are asked for again if there was no answer."""
+"""Delay before the machine types are requested again if the last request returned none."""
 
 
 class Controller:
-    """One controller, whether it leads or follows."""
+    """One controller, either leader or follower."""
 
     def __init__(self, deployment: Deployment, boot: str, rng: Random) -> None:
         self.deployment = deployment
@@ -60,15 +60,19 @@
         self._outbox = Outbox()
         self._now = LONG_AGO
         self._wall = WallTime(0.0)
-        self._types: dict[TypeName, MachineType] = {}
-        self._types_requested = False
-        self._list_types_at = LONG_AGO
-        self._progress_at = LONG_AGO
+        self._machine_types: dict[TypeName, MachineType] = {}
+        self._list_types_in_flight = False
+        self._next_list_types_at = LONG_AGO
+        self._next_progress_at = LONG_AGO
         self.upgrade = Upgrade(
             deployment.member, deployment.members, self._outbox, self._all_upgraded
         )
-        self.users = UserRequests(
-            deployment, self._outbox, self._types, lambda: self._now, lambda: self.upgrade.complete
+        self.user_requests = UserRequests(
+            deployment,
+            self._outbox,
+            self._machine_types,
+            lambda: self._now,
+            lambda: self.upgrade.complete,
         )
         self.leader: Leader | None = None
         self.election = Election(
@@ -77,14 +81,14 @@
         self._handlers = self._handler_table()
 
     @property
-    def knows_types(self) -> bool:
-        """Without the machine types no submission can be decided."""
-        return bool(self._types)
+    def knows_machine_types(self) -> bool:
+        """Whether the machine types are known, which deciding on submissions requires."""
+        return bool(self._machine_types)
 
     def step(self, received: Input, now: Seconds, wall: WallTime) -> list[Effect]:
-        """Take an input; returns what is to be done outside, in order.
+        """Process an input and return the effects to carry out, in order.
 
-        `now` is on the steady clock, `wall` on the one that is shown to users and stored.
+        `now` is monotonic time; `wall` is wall-clock time, which is stored and shown to users.
         """
         self._now, self._wall = now, wall
         if self.leader is not None:
@@ -95,7 +99,7 @@
         return self._outbox.take()
 
     def _handler_table(self) -> dict[type[Any], Callable[[Any], None]]:
-        """Who handles which input. A dictionary is faster for heartbeats than tests in turn."""
+        """The handler of each input type; for heartbeats, a lookup is faster than chained tests."""
         return {
             CallCompleted: self._call_completed,
             HeartbeatReceived: self._heartbeat_received,
@@ -130,22 +134,24 @@
             self.leader.receive_direct_reply(reply.heartbeat)
 
     def _query_job(self, query: QueryJob) -> None:
-        self.users.query(query.request, query.ref)
+        self.user_requests.query(query.request, query.ref)
 
     def _submit_job(self, submission: SubmitJob) -> None:
-        self.users.submit(submission.request, submission.spec, self._wall)
+        self.user_requests.submit(submission.request, submission.spec, self._wall)
 
     def _reject_job(self, rejection: RejectJob) -> None:
-        self.users.refuse(rejection.request, rejection.ref, rejection.status)
+        self.user_requests.refuse(rejection.request, rejection.ref, rejection.status)
 
     def _cancel_job(self, cancellation: CancelJob) -> None:
-        self.users.cancel(cancellation.request, cancellation.ref)
+        self.user_requests.cancel(cancellation.request, cancellation.ref)
 
     def _progress_received(self, received: ProgressReceived) -> None:
-        self.users.update_progress(received.counts)
+        self.user_requests.update_progress(received.counts)
 
     def _shard_requested(self, request: ShardRequested) -> None:
-        proposal = plan_shard(request.view, self.deployment, self._types, self._rng, self._now)
+        proposal = plan_shard(
+            request.view, self.deployment, self._machine_types, self._rng, self._now
+        )
         self._outbox.add(ProposeShard(request.member, proposal))
 
     def _shard_proposed(self, proposed: ShardProposed) -> None:
@@ -156,75 +162,77 @@
         self.election.revoke_leader_lease(peer.member)
 
     def _started(self, _: Started) -> None:
-        self.election.begin()
-        self.upgrade.begin()
+        self.election.start()
+        self.upgrade.start()
         self._list_types()
 
     def _tick(self, _: Tick) -> None:
         now = self._now
-        if not self._types_requested and now >= self._list_types_at:
+        if not self._list_types_in_flight and now >= self._next_list_types_at:
             self._list_types()
         if self.leader is None:
             return
         self.leader.tick(now)
         # The tick may have ended the term.
-        if self.leader is not None and now >= self._progress_at:
-            self._progress_at = Seconds(now + PROGRESS_S)
+        if self.leader is not None and now >= self._next_progress_at:
+            self._next_progress_at = Seconds(now + PROGRESS_INTERVAL_S)
             counts = self.leader.progress.changed_counts()
             if counts:
-                self.users.update_progress(counts)
+                self.user_requests.update_progress(counts)
                 self._outbox.add(BroadcastProgress(counts))
 
     # Machine types
 
     def _list_types(self) -> None:
-        self._types_requested = True
+        self._list_types_in_flight = True
         self._outbox.add(ListTypes(self._types_listed))
 
     def _types_listed(self, machine_types: list[MachineType] | None) -> None:
-        self._types_requested = False
-        pause_s = LIST_TYPES_S if machine_types else LIST_TYPES_RETRY_S
-        self._list_types_at = Seconds(self._now + pause_s)
+        self._list_types_in_flight = False
+        pause_s = LIST_TYPES_INTERVAL_S if machine_types else LIST_TYPES_RETRY_S
+        self._next_list_types_at = Seconds(self._now + pause_s)
         if machine_types:
-            # The dictionary is shared with the leader and with users' requests.
-            self._types.update({machine_type.name: machine_type for machine_type in machine_types})
+            # The leader and the user requests share this dictionary, so it is updated in place.
+            self._machine_types.update(
+                {machine_type.name: machine_type for machine_type in machine_types}
+            )
             if self.leader is not None:
                 self.leader.machines.types_changed()
 
     # Terms
 
     def _all_upgraded(self) -> None:
-        """No controller of an older version is left, so records may take the newer form.
+        """All controllers run this version, so records may be written in the newer format.
 
-        A term keeps the form that it began with, so another one begins where that makes a
-        difference.
+        A term keeps the record format that it began with. If the newer format has another chunk
+        length, the leader resigns so that a new term begins with it.
         """
-        self._outbox.log("info", "all controllers have changed to this version")
+        self._outbox.log("info", "all controllers run this version")
         leader = self.leader
         if leader is not None and leader.placement_records.chunk_length != chunk_length_for(
             self.deployment.value_kb
         ):
-            self.election.resign("all controllers have changed to this version", rest_s=0.0)
+            self.election.resign("all controllers run this version", backoff_s=0.0)
 
     def elected(self, token: Token) -> None:
-        """The election was won: read what earlier leaders left, then begin the term."""
-        self._outbox.log("info", f"elected, token {token}")
+        """Read the records of earlier leaders from the store, then begin the term."""
+        self._outbox.log("info", f"elected with fencing token {token}")
         TakeoverRead(
             self._outbox,
             lambda: self._now,
             lambda: self.election.token == token,
-            self._lead,
+            self._begin_term,
         ).begin()
 
-    def _lead(self, stored: StoredState) -> None:
-        """Begin a term with what earlier leaders left in the store."""
+    def _begin_term(self, stored: StoredState) -> None:
+        """Begin the term with the records of earlier leaders."""
         self.upgrade.formats_read(stored.formats)
         leader = build_leader(
             self.deployment,
             self.election,
             self._outbox,
             self._rng,
-            self._types,
+            self._machine_types,
             self._now,
             self._wall,
             self.upgrade.complete,
@@ -238,11 +246,11 @@
             self._now,
         )
         self.leader = leader
-        self._outbox.log("info", f"leading with {len(leader.jobs)} jobs")
+        self._outbox.log("info", f"leading with {len(leader.jobs)} live jobs")
         JobWatch(leader.term, leader.apply_job_changes, stored.live.revision).begin()
 
     def term_lost(self, reason: str) -> None:
-        """The term is over: answers that come for it later are dropped."""
+        """End the term; replies that arrive for it later are ignored."""
         self._outbox.log("info", f"no longer leading: {reason}")
         if self.leader is not None:
             self.leader.term.retire()
--- a/src/crosscleat/core/control/evacuation.py
+++ b/src/crosscleat/core/control/evacuation.py
@@ -1,4 +1,4 @@
-"""How a machine is emptied that the cloud will reclaim, or that is no longer needed."""
+"""Empties machines that the cloud will reclaim or that are no longer needed."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from .gang_control import GangControl
 
 IN_TIME_SHARE = 0.7
-"""An attempt that is estimated to end within this share of a notice is left to run."""
+"""Share of the notice period within which an attempt must be estimated to end to keep running."""
 
 SAVE_SHARE = 0.5
-"""An attempt saves its progress on a notice if that takes less than this share of it."""
+"""Share of the notice period below which saving must stay for an attempt to save its progress."""
 
 
 class Evacuation:
-    """Stops what runs on machines that are reclaimed or returned."""
+    """Stops the attempts on machines that are reclaimed or returned."""
 
     def __init__(
         self,
@@ -36,29 +36,33 @@
         self._attempts = attempts
 
     def notice_received(self, machine: Machine, notice_s: float) -> None:
-        """The cloud reclaims the machine in `notice_s` seconds."""
+        """Handle the notice that the cloud reclaims the machine in `notice_s` seconds."""
         machine.reclaim_at = Seconds(self._term.now + notice_s)
         self._interruptions.record_interruption()
         self._evacuate(machine, notice_s)
 
     def release_surplus(self, machine: Machine) -> None:
-        """Stop what runs on the machine, which is returned once the last attempt has ended."""
+        """Preempt all attempts on the machine; it is returned once the last one has ended."""
         machine.surplus = True
-        self._term.outbox.log("info", f"machine {machine.id}: only backfill runs on it, draining")
+        self._term.outbox.log(
+            "info", f"machine {machine.id}: draining, only backfill tasks run on it"
+        )
         for allocation in list(machine.allocations.values()):
             self._attempts.preempt(machine, allocation)
 
     def _evacuate(self, machine: Machine, notice_s: float) -> None:
-        """Stop what the notice leaves no time for, so that it starts elsewhere sooner."""
+        """Stop attempts that cannot end in time, so that they restart elsewhere sooner."""
         now = self._term.now
-        self._term.outbox.log("info", f"machine {machine.id}: reclaimed in {notice_s:.0f} s")
+        self._term.outbox.log(
+            "info", f"machine {machine.id}: will be reclaimed in {notice_s:.0f} s"
+        )
         self._gangs.evacuate(machine, now)
         for allocation in list(machine.allocations.values()):
             spec = allocation.spec
             if spec.shape is Shape.GANG:
                 continue
-            started = allocation.running_since if allocation.running_since is not None else now
-            if self._run_times.estimate(spec) - (now - started) < IN_TIME_SHARE * notice_s:
+            started_at = allocation.running_since if allocation.running_since is not None else now
+            if self._run_times.estimate(spec) - (now - started_at) < IN_TIME_SHARE * notice_s:
                 continue
-            saves = spec.checkpoint_s > 0 and spec.save_s < SAVE_SHARE * notice_s
-            self._attempts.stop(machine, allocation, spec.save_s if saves else 0.0)
+            can_save = spec.checkpoint_s > 0 and spec.save_s < SAVE_SHARE * notice_s
+            self._attempts.stop(machine, allocation, spec.save_s if can_save else 0.0)
--- a/src/crosscleat/core/control/heartbeat_receiver.py
+++ b/src/crosscleat/core/control/heartbeat_receiver.py
@@ -1,4 +1,4 @@
-"""Which heartbeats the leader answers, and what its answer renews."""
+"""Receives heartbeats from workers, responds to them and records the lease renewal."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from .commands import Commands
 from .heartbeat_processing import HIGHER_TOKEN_SEEN, HeartbeatProcessing
 from .pending_work import PendingWork
-from .response_check import ANSWERED_LEASES, ResponseCheck
+from .response_check import ANSWERED_LEASE_FRACTION, ResponseCheck
 from .worker_contact import WorkerContact
 
 
 class HeartbeatReceiver:
-    """Takes in the heartbeats that workers send, and answers each with commands."""
+    """Receives heartbeats from workers and responds to each with orders."""
 
     def __init__(
         self,
@@ -36,41 +36,41 @@
         self._pending = pending
 
     def receive(self, request: int, heartbeat: Heartbeat, now: Seconds, relayed: bool) -> None:
-        """Take in a heartbeat and answer it; `relayed`: it came through another controller."""
+        """Process a heartbeat and respond; `relayed`: another controller forwarded it."""
         if not relayed:
-            self._contact.reached(now)
-        if not self._may_answer(heartbeat, self._term.election.token, now):
+            self._contact.direct_contact_made(now)
+        if not self._may_respond(heartbeat, self._term.election.token, now):
             self._refuse(request)
             return
         machine = self._machines.enter_reported(heartbeat)
         if self._processing.is_outdated(machine, heartbeat):
-            # Late or repeated: the worker no longer waits for the answer and would drop it.
+            # Delayed or duplicate: the worker no longer waits for the response and would drop it.
             self._refuse(request)
             return
         self._responses.check(machine, heartbeat, now)
-        self._processing.apply(machine, heartbeat, is_reply=False)
+        self._processing.apply(machine, heartbeat, is_direct_reply=False)
         self._contact.heartbeat_received(now)
         if not machine.confirmed_in_term:
             self._pending.queue_heartbeat_requests([machine])
         self._commands.answer(request, machine, now, heartbeat.heartbeat_id.sequence)
-        if now - machine.last_response_at > ANSWERED_LEASES * self._term.deployment.lease_s:
-            # Heartbeats held up by a network partition arrive all at once, long after their
-            # workers stopped waiting for the answers.
+        if now - machine.last_response_at > ANSWERED_LEASE_FRACTION * self._term.deployment.lease_s:
+            # Heartbeats delayed by a network partition arrive all at once, long after their
+            # workers stopped waiting for the responses.
             machine.responses_unbroken_since = now
         machine.last_heartbeat_at = machine.last_response_at = now
-        shows_term = machine.shown_token >= self._term.began_token
+        shows_term_token = machine.shown_token >= self._term.initial_token
         machine.last_possible_renewal = (
-            now if shows_term else max(machine.last_possible_renewal, now)
+            now if shows_term_token else max(machine.last_possible_renewal, now)
         )
 
-    def _may_answer(self, heartbeat: Heartbeat, token: Token | None, now: Seconds) -> bool:
-        """Whether our answer may renew this worker's lease."""
-        if token is None or now > self._term.renew_until():
+    def _may_respond(self, heartbeat: Heartbeat, token: Token | None, now: Seconds) -> bool:
+        """Whether our response may renew this worker's lease."""
+        if token is None or now > self._term.renewal_deadline():
             return False
         if heartbeat.token > token:
             self._term.election.resign(HIGHER_TOKEN_SEEN)
             return False
-        # A heartbeat of a deleted machine is an old one that was held up by the network.
+        # A heartbeat of a deleted machine is an old one that the network delayed.
         return not self._machines.is_deleted(heartbeat.machine)
 
     def _refuse(self, request: int) -> None:
--- a/src/crosscleat/core/control/leader.py
+++ b/src/crosscleat/core/control/leader.py
@@ -1,9 +1,9 @@
-"""The leader of one term: when each of its parts has its turn.
+"""The leader of one term: calls its parts in order.
 
-Heartbeats go to `heartbeat_receiver`, changes of jobs to `job_changes`; `tick` does what is due at
-fixed intervals; `finish_step`, at the end of every step of the controller, plans, writes what has
-changed and sends what has been written. `assembly.build_leader` makes a leader out of its parts,
-and `takeover.load_records` fills it with what earlier leaders left in the store.
+Heartbeats go to `heartbeat_receiver`, job changes to `job_changes`. `tick` runs the periodic work.
+`finish_step` runs at the end of every controller step: it schedules, writes changes to the store
+and sends direct commands. `assembly.build_leader` builds a leader from its parts, and
+`takeover.load_records` loads the records of earlier leaders into it.
 """
 
 from __future__ import annotations
@@ -43,17 +43,17 @@
 from .write_outcomes import WriteOutcomes
 from .writer import Writer
 
-WATCHED_PER_S = 10_000
-"""Machines whose silence, leases and idleness are checked in a second: up to a thousand machines
-are checked at every tick, more of them less often."""
+MACHINE_CHECKS_PER_S = 10_000
+"""Machines checked per second for silence, lease expiry and idleness. Up to a thousand machines are
+checked at every tick; with more machines, each is checked less often."""
 
-TICK_SLACK_S = 0.05
-"""Ticks are a tenth of a second apart, give or take this."""
+TICK_JITTER_S = 0.05
+"""Tolerance for the interval between ticks, which is nominally 0.1 s."""
 
 
 @dataclass(eq=False)
 class Leader:
-    """The leader of one term, as a coordinator of its parts."""
+    """The leader of one term; coordinates its parts."""
 
     term: LeadingTerm
     jobs: dict[JobRef, Job]
@@ -84,56 +84,56 @@
     scheduler: Scheduler
     autoscaler: Autoscaler
     progress: Progress
-    _full_cycle_at: Seconds = field(init=False)
-    _watch_at: Seconds = field(init=False)
+    _next_full_cycle_at: Seconds = field(init=False)
+    _next_watch_at: Seconds = field(init=False)
 
     def __post_init__(self) -> None:
-        self._full_cycle_at = self._watch_at = self.term.now
+        self._next_full_cycle_at = self._next_watch_at = self.term.now
 
     def receive_heartbeat(
         self, request: int, heartbeat: Heartbeat, now: Seconds, relayed: bool
     ) -> None:
-        """Take in a worker's heartbeat and answer it."""
+        """Process a worker's heartbeat and respond to it."""
         self.heartbeat_receiver.receive(request, heartbeat, now, relayed)
 
     def receive_direct_reply(self, heartbeat: Heartbeat) -> None:
-        """Take in a heartbeat that answers another controller's probe."""
+        """Process a heartbeat that a worker sent in reply to another controller's probe."""
         self.heartbeat_processing.receive_direct_reply(heartbeat)
 
     def apply_job_changes(self, changes: Iterable[Item], now: Seconds) -> None:
-        """Take in what users submitted or cancelled."""
+        """Apply submissions and cancellations."""
         self.job_changes.apply(changes, now)
 
     def tick(self, now: Seconds) -> None:
-        """Do what is due by now; called ten times a second."""
+        """Run the periodic work that is due; called ten times a second."""
         for job in self.jobs.values():
             if job.delayed:
                 job.resume_delayed(now)
         if self.pending.incomplete_gangs:
             self.pending.cycle_wanted = True
         self.contact.tick()
-        if now >= self._watch_at:
+        if now >= self._next_watch_at:
             machines = len(self.cluster.machines)
-            self._watch_at = Seconds(now + machines / WATCHED_PER_S - TICK_SLACK_S)
+            self._next_watch_at = Seconds(now + machines / MACHINE_CHECKS_PER_S - TICK_JITTER_S)
             self.watch_machines(now)
         if self.term.retired:
             return
         self.commands.send_heartbeat_requests()
-        if now >= self._full_cycle_at:
+        if now >= self._next_full_cycle_at:
             self._begin_full_cycle(now)
         self.autoscaler.adjust(now)
-        self.machine_list.read_if_due(now, self.liveness.doubtful)
+        self.machine_list.read_if_due(now, self.liveness.has_recent_silence)
         self.deletions.delete_recorded(now)
 
     def _begin_full_cycle(self, now: Seconds) -> None:
-        """Have all waiting work planned, by the shard owners as well."""
-        self._full_cycle_at = Seconds(now + self.term.deployment.tuning.round_s)
+        """Start a scheduling cycle over all waiting work, including the shard owners."""
+        self._next_full_cycle_at = Seconds(now + self.term.deployment.tuning.round_s)
         self.pending.cycle_wanted = True
         self.writer.remove(self.deletions.forget_old(now, self.writer.writing))
         self.scheduler.dispatch_shards(now)
 
     def watch_machines(self, now: Seconds) -> None:
-        """Decide which machines to probe, to evacuate and to return."""
+        """Decide which machines to probe, evacuate and return to the cloud."""
         machines = list(self.cluster.machines.values())
         self.liveness.watch(machines, now, self.commands)
         if self.term.retired:
@@ -148,7 +148,7 @@
             self.machine_watch.watch(machine, now)
 
     def finish_step(self, now: Seconds) -> None:
-        """At the end of every step: plan, write what changed and send what was written."""
+        """Schedule, write changes and send direct commands; called at the end of every step."""
         if self.term.retired:
             return
         self.scheduler.run_if_due(now)
--- a/src/crosscleat/core/control/liveness.py
+++ b/src/crosscleat/core/control/liveness.py
@@ -1,7 +1,10 @@
-"""Which machines have fallen silent, and what the leader does about it.
+"""Detects machines that send no heartbeats, and decides how the leader reacts.
 
-Silence proves nothing. It only decides which workers to ask, which machines to give up, and when
-another controller would lead better; that an attempt has ended needs proof (`attempts`).
+Silence does not prove that a machine is dead. It only decides which workers to probe, which
+machines to delete, and when to let another controller lead. Ending an attempt needs proof
+(`attempts`).
+
+A quiet machine has missed a heartbeat (`quiet_s`); a silent one may be deleted (`silent_s`).
 """
 
 from __future__ import annotations
@@ -17,34 +20,34 @@
 from .response_check import ResponseCheck, has_common_cause
 from .worker_contact import WorkerContact
 
-SILENCED_S = 20.0
-"""For so long machines that were deleted for their silence are counted with the silent ones."""
+SILENT_DELETION_WINDOW_S = 20.0
+"""How long machines deleted for silence are still counted among the silent ones."""
 
-REQUEST_SHARE = 0.4
-"""After this share of the silence at which contact counts as lost, heartbeats are asked for."""
+HEARTBEAT_REQUEST_SHARE = 0.4
+"""Share of the silence at which contact counts as lost, after which heartbeats are requested."""
 
-MAX_PROBES = 6
-"""Machines that are asked for a heartbeat in one look."""
+MAX_PROBES_PER_CHECK = 6
+"""Maximum number of machines asked for a heartbeat in one check."""
 
-PROBE_INTERVAL_S = 1.5
-"""Least time between two probes of a machine."""
+MIN_PROBE_INTERVAL_S = 1.5
+"""Minimum time between two probes of a machine."""
 
-RESIGNED_S = 10.0
-"""For so long a leader that workers can't reach leaves the leadership to others."""
+RESIGN_BACKOFF_S = 10.0
+"""How long a leader that resigned for lost worker contact lets other controllers campaign first."""
 
 
 class Prober(Protocol):
-    """Asks workers for heartbeats (`control.commands.Commands`)."""
+    """Requests heartbeats from workers (`control.commands.Commands`)."""
 
     def request_heartbeat(self, machine: Machine) -> None:
-        """Ask the worker directly."""
+        """Request a heartbeat from the worker directly."""
 
     def probe(self, machine: Machine) -> None:
-        """Ask the worker directly and through the other controllers."""
+        """Request a heartbeat directly and through the other controllers."""
 
 
 class Liveness:
-    """Counts silent machines, asks them for heartbeats, and resigns if the fault is ours."""
+    """Counts silent machines, probes them, and resigns if this controller is at fault."""
 
     def __init__(
         self,
@@ -58,27 +61,30 @@
         self._contact = contact
         self._responses = responses
         self.silent_s = deployment.silent_s
-        """After so long without a heartbeat a machine is given up."""
+        """Time without a heartbeat after which a machine is deleted."""
         self.quiet_s = 1.5 * deployment.heartbeat_interval_s + 1.0
-        """After so long without a heartbeat a machine has missed one."""
-        self._silenced: list[tuple[Seconds, Zone]] = []
-        """When and in which zone machines were deleted for their silence."""
+        """Time without a heartbeat after which a machine has missed one."""
+        self._silent_deletions: list[tuple[Seconds, Zone]] = []
+        """Time and zone of each recent deletion of a machine for silence."""
         self._quiet_zones: set[Zone] = set()
-        """Zones where so many machines are silent that the network, or more, must be at fault."""
+        """Zones with so many quiet machines that the network or the whole zone must have failed."""
 
     def given_up(self, machine: Machine, now: Seconds) -> None:
-        """The machine was deleted for its silence."""
-        self._silenced.append((now, machine.zone))
+        """Record that the machine was deleted for silence."""
+        self._silent_deletions.append((now, machine.zone))
 
     @property
-    def doubtful(self) -> bool:
-        """Whether the cloud's list may soon show what became of machines that fell silent."""
-        return bool(self._silenced) or bool(self._quiet_zones)
+    def has_recent_silence(self) -> bool:
+        """Whether machines fell silent recently.
+
+        The cloud's list may soon show what became of them.
+        """
+        return bool(self._silent_deletions) or bool(self._quiet_zones)
 
     def silent(self, machine: Machine, now: Seconds) -> bool:
-        """Whether to give the machine up for its silence.
+        """Whether the machine has been silent long enough to be deleted.
 
-        Where many of its zone are silent, only a much longer silence counts.
+        If many machines of its zone are quiet, a much longer silence is required.
         """
         silence_s = now - machine.last_heartbeat_at
         return silence_s > self.silent_s and (
@@ -87,73 +93,87 @@
 
     def watch(self, machines: list[Machine], now: Seconds, prober: Prober) -> None:
         """Count silent machines; resign if this controller is at fault, otherwise probe them."""
-        # Machines given up for their silence still count: otherwise each one given up would make
-        # the rest look fewer, and a leader that is cut off would give up one after another.
+        # Machines deleted for silence still count: otherwise each deletion would make the failure
+        # look smaller, and a leader that is cut off would delete one machine after another.
         booted = [
             machine
             for machine in machines
             if machine.booted and (not machine.decommissioning or machine.deleted_for_silence)
         ]
-        up = [machine for machine in booted if machine.has_sent_heartbeat]
-        shortest_s = self._shortest_silence_s(up, now)
-        self._find_quiet_zones(booted, shortest_s, now)
+        reporting = [machine for machine in booted if machine.has_sent_heartbeat]
+        shortest_silence_s = self._shortest_silence_s(reporting, now)
+        self._find_quiet_zones(booted, shortest_silence_s, now)
         self._responses.count_unresponsive(machines, now)
-        if self._responses.no_answer_arrives(len(up)):
-            # This controller is slow or cut off: its answers come too late or not at all.
-            self._election.resign("no worker receives our answers", rest_s=RESIGNED_S)
+        if self._responses.no_response_arrives(len(reporting)):
+            # This controller is slow or cut off: its responses arrive too late or not at all.
+            self._election.resign("no worker receives our responses", backoff_s=RESIGN_BACKOFF_S)
             return
-        if self._contact.is_lost(machines, len(up), shortest_s, now):
-            self._election.resign("no worker reaches us", rest_s=RESIGNED_S)
+        if self._contact.is_lost(machines, len(reporting), shortest_silence_s, now):
+            self._election.resign("no worker can reach this controller", backoff_s=RESIGN_BACKOFF_S)
             return
-        if shortest_s > REQUEST_SHARE * self._contact.max_silence_s(len(up)):
-            # All of them may have reported to a controller that ended, and take some seconds to
-            # find another one. One that answers us will then be known to live.
+        if shortest_silence_s > HEARTBEAT_REQUEST_SHARE * self._contact.max_silence_s(
+            len(reporting)
+        ):
+            # All of them may have used a controller that ended, and take some seconds to find
+            # another one. A reply to our request shows that a worker is alive.
             for machine in heapq.nlargest(
-                MAX_PROBES, up, key=lambda machine: machine.last_heartbeat_at
+                MAX_PROBES_PER_CHECK, reporting, key=lambda machine: machine.last_heartbeat_at
             ):
                 prober.request_heartbeat(machine)
         self._probe(machines, now, prober)
 
-    def _shortest_silence_s(self, up: list[Machine], now: Seconds) -> float:
-        """How long all machines have been silent; of a single one it says nothing."""
-        if len(up) <= 1:
+    def _shortest_silence_s(self, reporting: list[Machine], now: Seconds) -> float:
+        """How long all machines have been silent; 0 if there are fewer than two.
+
+        The silence of a single machine says nothing about the contact with the others.
+        """
+        if len(reporting) <= 1:
             return 0.0
-        return min(now - machine.last_heartbeat_at for machine in up)
+        return min(now - machine.last_heartbeat_at for machine in reporting)
 
-    def _find_quiet_zones(self, booted: list[Machine], shortest_s: float, now: Seconds) -> None:
-        """Find the zones in which too many machines are silent to blame each of them.
+    def _find_quiet_zones(
+        self, booted: list[Machine], shortest_silence_s: float, now: Seconds
+    ) -> None:
+        """Find the zones in which too many machines are quiet for individual failures.
 
-        By zone, so that one that is cut off does not hide what ends elsewhere. Machines that a
-        new leader has not received a heartbeat of count too: they may be cut off from it.
+        Zones are judged separately, so that a cut-off zone does not hide dead machines in another
+        one. Machines without a heartbeat in this term count too: they may be cut off from a new
+        leader.
         """
-        self._silenced = [(at, zone) for at, zone in self._silenced if now - at < SILENCED_S]
-        silenced = Counter(zone for _, zone in self._silenced)
-        present = Counter(machine.zone for machine in booted) + silenced
-        quiet = (
+        self._silent_deletions = [
+            (deleted_at, zone)
+            for deleted_at, zone in self._silent_deletions
+            if now - deleted_at < SILENT_DELETION_WINDOW_S
+        ]
+        deleted_by_zone = Counter(zone for _, zone in self._silent_deletions)
+        total_by_zone = Counter(machine.zone for machine in booted) + deleted_by_zone
+        quiet_by_zone = (
             Counter(
                 machine.zone for machine in booted if now - machine.last_heartbeat_at > self.quiet_s
             )
-            + silenced
+            + deleted_by_zone
         )
-        all_quiet = shortest_s > 1.25 * self._deployment.heartbeat_interval_s + 0.5
+        all_quiet = shortest_silence_s > 1.25 * self._deployment.heartbeat_interval_s + 0.5
         self._quiet_zones = {
-            zone for zone in present if all_quiet or has_common_cause(quiet[zone], present[zone])
+            zone
+            for zone in total_by_zone
+            if all_quiet or has_common_cause(quiet_by_zone[zone], total_by_zone[zone])
         }
 
     def _probe(self, machines: list[Machine], now: Seconds, prober: Prober) -> None:
-        """Ask silent machines for a heartbeat, a few at a time.
+        """Request heartbeats from quiet machines, a few at a time.
 
-        They may be between two controllers, or cut off from this one alone.
+        Their workers may be switching controllers, or be cut off from this controller only.
         """
         probed = 0
         for machine in machines:
             if (
-                probed < MAX_PROBES
+                probed < MAX_PROBES_PER_CHECK
                 and machine.booted
                 and not machine.decommissioning
                 and now - machine.last_heartbeat_at > self.quiet_s
                 and machine.address is not None
-                and now - machine.probed_at >= PROBE_INTERVAL_S
+                and now - machine.probed_at >= MIN_PROBE_INTERVAL_S
             ):
                 probed += 1
                 machine.probed_at = now
--- a/src/crosscleat/core/control/orders.py
+++ b/src/crosscleat/core/control/orders.py
@@ -101,5 +101,5 @@
         return chunk is None or (task.number, attempt, machine.id) not in chunk.recorded
 
     def _want_rotation(self, machine: Machine) -> None:
-        if machine.shown_token >= self._term.began_token:
-            self._pending.rotation_wanted = True
+        if machine.shown_token >= self._term.initial_token:
+            self._pending.token_rotation_wanted = True
--- a/src/crosscleat/core/control/pending_work.py
+++ b/src/crosscleat/core/control/pending_work.py
@@ -1,8 +1,7 @@
-"""What the parts of a leader have marked to be done at the end of a step or in a later one.
+"""Work that the parts of a leader request from each other for the end of a step or a later step.
 
-The parts share this record instead of calling each other: whoever finds that something is to be
-written, sent or planned marks it here, and the part whose work it is looks here when its turn
-comes.
+The parts share this object instead of calling each other. A part that finds something to write,
+send or schedule records it here, and the responsible part handles it when it runs next.
 """
 
 from __future__ import annotations
@@ -16,38 +15,47 @@
 
 
 class PendingWork:
-    """Marks set by any part, and cleared by the part whose work it is."""
+    """Requests set by any part and cleared by the part that handles them."""
 
     def __init__(self) -> None:
         self.cycle_wanted = True
-        """A scheduling cycle may find something to place."""
-        self.unwritten = True
-        """Starts, ends or decommissions may wait to be written; progress has its own interval."""
-        self.ending: dict[JobRef, Job] = {}
-        """Jobs that are over, but for the transaction that records it."""
-        self.rotation_wanted = False
-        """Only a higher token rules out that a lost direct command is executed after all."""
+        """Whether a scheduling cycle may find something to place."""
+        self.has_unwritten_changes = True
+        """Whether starts, ends or decommissions may have to be written.
+
+        Task progress is written at its own interval.
+        """
+        self.ending_jobs: dict[JobRef, Job] = {}
+        """Jobs whose tasks have all ended, until a transaction has recorded the end of the job."""
+        self.token_rotation_wanted = False
+        """Whether to raise the fencing token.
+
+        Only a higher token ensures that a lost direct command is not executed later.
+        """
         self.direct_targets: dict[MachineId, None] = {}
-        """Machines with orders that are worth a direct command, in the order of their marks."""
+        """Machines whose orders are to be sent by direct command, in the order of the requests."""
         self.heartbeat_requests: deque[Machine] = deque()
-        """Machines to ask for a heartbeat, a few in each tick."""
+        """Machines to request a heartbeat from, a few in each tick."""
 
         self.incomplete_gangs: dict[JobRef, Job] = {}
-        """Gangs that may still wait for a lost member: decided in the next scheduling cycle."""
+        """Gangs that have lost a member and may still wait for a replacement.
+
+        The next scheduling cycle decides.
+        """
 
     def write_soon(self) -> None:
-        """Something is to be written with the next transaction."""
-        self.unwritten = True
+        """Request a write with the next transaction."""
+        self.has_unwritten_changes = True
 
     def record_end_if_over(self, job: Job) -> None:
-        """Write the job's end, if nothing more can happen to it."""
+        """Have the end of the job written, if the job is over."""
         if job.is_over():
-            self.ending[job.ref] = job
+            self.ending_jobs[job.ref] = job
 
     def send_soon(self, machine: MachineId) -> None:
-        """Send the machine's orders at the end of this step, not with its next heartbeat."""
+        """Send the machine's orders at the end of this step instead of with its next heartbeat."""
         self.direct_targets[machine] = None
 
     def queue_heartbeat_requests(self, machines: Iterable[Machine]) -> None:
-        """Ask these machines for a heartbeat, in this order and after those queued before."""
+        """Append these machines, in this order, to the queue of heartbeat requests."""
         self.heartbeat_requests.extend(machines)
--- a/src/crosscleat/core/control/progress.py
+++ b/src/crosscleat/core/control/progress.py
@@ -1,4 +1,4 @@
-"""How many tasks of each job are done and running, for display only."""
+"""Counts the done and running tasks of each job, for display only."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from ..state.jobs import Job
 
 MAX_COUNTS = 5_000
-"""Jobs whose counts one message contains; others follow with the next."""
+"""Maximum number of jobs in one message; the others follow in the next message."""
 
 
 class Progress:
-    """Remembers which counts were shown last."""
+    """Computes which counts have changed since they were last reported."""
 
     def __init__(self, jobs: dict[JobRef, Job], cluster: ClusterState) -> None:
         self._jobs = jobs
         self._cluster = cluster
-        self._shown: dict[JobRef, tuple[int, int]] = {}
+        self._last_counts: dict[JobRef, tuple[int, int]] = {}
 
     def changed_counts(self) -> dict[str, tuple[int, int]]:
         """Done and running tasks of the jobs for which either changed since the last call."""
@@ -34,10 +34,10 @@
             if len(changed) >= MAX_COUNTS:
                 break
             counts = (job.done_count, running[job.ref])
-            if self._shown.get(job.ref) != counts:
-                self._shown[job.ref] = changed[job.ref] = counts
+            if self._last_counts.get(job.ref) != counts:
+                self._last_counts[job.ref] = changed[job.ref] = counts
         return changed
 
     def forget(self, job: JobRef) -> None:
-        """The job is over."""
-        self._shown.pop(job, None)
+        """Drop the counts of a job that is over."""
+        self._last_counts.pop(job, None)
--- a/src/crosscleat/core/control/response_check.py
+++ b/src/crosscleat/core/control/response_check.py
@@ -1,8 +1,8 @@
-"""Whether workers receive the leader's answers, judged by their next heartbeats.
+"""Checks in the workers' next heartbeats whether they receive the leader's responses.
 
-A worker that sends heartbeats but does not receive the answers never starts what it is told to.
-Its machine is decommissioned, unless so many do not receive them that the fault must be this
-controller's or the network's.
+A worker that sends heartbeats but does not receive the responses never executes its orders. Its
+machine is decommissioned, unless so many machines are affected that this controller or the network
+must be at fault.
 """
 
 from __future__ import annotations
@@ -14,34 +14,34 @@
 from ..state.cluster import ClusterState
 from ..state.machine import Machine
 
-ANSWERED_LEASES = 0.6
-"""In lease times: for so long the heartbeats of an agent epoch must have been answered if its end
-is to show that the worker did not receive the answers. It is well within a lease, as a partition
-may have taken the last answers."""
+ANSWERED_LEASE_FRACTION = 0.6
+"""Fraction of a worker lease for which the heartbeats of an agent epoch must have been answered
+before its end shows that the worker did not receive the responses. It is well below 1, as a
+partition may have dropped the last responses."""
 
 UNRESPONSIVE_S = 2.0
-"""A worker that has not carried out a start for so long counts as unresponsive."""
+"""Time without executing a start order after which a worker counts as unresponsive."""
 
 UNRESPONSIVE_SHARE = 0.5
-"""With a larger share of the machines unresponsive, the leader's answers reach none of them."""
+"""Share of unresponsive machines above which the leader's responses reach none of them."""
 
-LOST_LEASES_S = 20.0
-"""For so long leases that expired although we had answered are counted together."""
+LOST_LEASE_WINDOW_S = 20.0
+"""Window in which leases that expired although we had responded are counted together."""
 
 COMMON_CAUSE_SHARE = 0.1
-"""If a larger share of machines fails at once, the fault is not each one's own."""
+"""Share of machines above which simultaneous failures have a common cause."""
 
 COMMON_CAUSE_MIN = 2
-"""So few at once are never taken for a common fault."""
+"""Number of simultaneous failures up to which no common cause is assumed."""
 
 
 def has_common_cause(failing: int, machines: int) -> bool:
-    """Whether so many of the machines fail at once that this controller or the network does."""
+    """Whether so many machines fail at once that this controller or the network is at fault."""
     return failing > max(COMMON_CAUSE_MIN, COMMON_CAUSE_SHARE * machines)
 
 
 class ResponseCheck:
-    """Finds the workers that do not receive our answers."""
+    """Detects workers that do not receive our responses."""
 
     def __init__(
         self, deployment: Deployment, cluster: ClusterState, decommissioner: Decommissioner
@@ -50,15 +50,15 @@
         self._cluster = cluster
         self._decommissioner = decommissioner
         self._unresponsive = 0
-        """Machines that have not carried out a start for a while."""
+        """Number of machines that have not executed a start order for `UNRESPONSIVE_S`."""
         self._lost_leases: list[Seconds] = []
-        """When agent epochs ended although we had answered their heartbeats."""
+        """Times at which agent epochs ended although we had responded to their heartbeats."""
 
     def check(self, machine: Machine, heartbeat: Heartbeat, now: Seconds) -> None:
-        """Judge by a new heartbeat whether the worker receives our answers.
+        """Check with a new heartbeat whether the worker receives our responses.
 
-        A start in an answer is listed in the next heartbeat of the agent epoch, or the answer did
-        not arrive; and an agent epoch ends only if no answer arrived for the time of a lease.
+        If a response with a start order arrives, the next heartbeat of the agent epoch lists the
+        attempt. An agent epoch ends only if no response has arrived for a whole lease.
         """
         if heartbeat.heartbeat_id.agent_epoch > machine.heartbeat_id.agent_epoch:
             self._agent_epoch_ended(machine, now)
@@ -66,7 +66,7 @@
             self._check_starts(machine, heartbeat, now)
 
     def _agent_epoch_ended(self, machine: Machine, now: Seconds) -> None:
-        answered_s = ANSWERED_LEASES * self._deployment.lease_s
+        answered_s = ANSWERED_LEASE_FRACTION * self._deployment.lease_s
         answered = (
             now - machine.last_response_at < answered_s < now - machine.responses_unbroken_since
         )
@@ -91,14 +91,16 @@
             now - machine.unresponsive_since > self._deployment.silent_s
             and not self._has_common_cause(self._unresponsive)
         ):
-            self._decommissioner.decommission(machine, "does not carry out orders")
+            self._decommissioner.decommission(machine, "it does not execute orders")
 
     def _has_common_cause(self, failing: int) -> bool:
         return has_common_cause(failing, len(self._cluster.machines))
 
     def count_unresponsive(self, machines: list[Machine], now: Seconds) -> None:
-        """Count the machines that are unresponsive by now."""
-        self._lost_leases = [at for at in self._lost_leases if now - at < LOST_LEASES_S]
+        """Update the number of unresponsive machines."""
+        self._lost_leases = [
+            lost_at for lost_at in self._lost_leases if now - lost_at < LOST_LEASE_WINDOW_S
+        ]
         self._unresponsive = sum(
             1
             for machine in machines
@@ -108,6 +110,6 @@
             and now - machine.unresponsive_since > UNRESPONSIVE_S
         )
 
-    def no_answer_arrives(self, up: int) -> bool:
-        """Whether, of `up` machines, so many are unresponsive that our answers reach none."""
-        return self._unresponsive > max(COMMON_CAUSE_MIN, UNRESPONSIVE_SHARE * up)
+    def no_response_arrives(self, reporting_count: int) -> bool:
+        """Whether so many machines are unresponsive that our responses reach none of them."""
+        return self._unresponsive > max(COMMON_CAUSE_MIN, UNRESPONSIVE_SHARE * reporting_count)
--- a/src/crosscleat/core/control/takeover.py
+++ b/src/crosscleat/core/control/takeover.py
@@ -1,4 +1,4 @@
-"""How a new leader goes on from what earlier leaders left in the store."""
+"""Loads the records of earlier leaders into a new leader."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 def load_records(
     leader: Leader,
-    live: list[Item],
+    job_records: list[Item],
     placement_records: list[Item],
     decommission_records: list[Item],
     now: Seconds,
 ) -> None:
-    """Fill the state of a leader that has just been assembled.
+    """Load stored records into a newly built leader.
 
-    `live` are the records of live jobs, the others those of placements and of decommissions.
+    `job_records` are the records of live jobs.
     """
-    for item in live:
+    for item in job_records:
         job = leader.job_changes.read(item, now)
         leader.jobs[job.ref] = job
     if not (placement_records or decommission_records):
         leader.autoscaler.expect_no_machines()
     leader.placement_records.load(placement_records, leader.jobs)
     leader.writer.remove(leader.placement_records.take_rewritten())
-    for item, job in zip(live, list(leader.jobs.values()), strict=True):
+    for item, job in zip(job_records, list(leader.jobs.values()), strict=True):
         job.finish_loading()
         if job.ever_placed:
             job.idle_since = now
@@ -44,17 +44,17 @@
 
 
 def _load_allocations(leader: Leader, job: Job, now: Seconds) -> None:
-    """Every placement on record may have been started by the earlier leader."""
+    """Add an allocation for every recorded placement: an earlier leader may have started it."""
     for chunk in job.chunks.values():
-        for number, placed in chunk.placed.items():
-            machine = leader.machines.enter_recorded(placed.machine)
+        for number, placement in chunk.placed.items():
+            machine = leader.machines.enter_recorded(placement.machine)
             allocation = Allocation(
                 TaskId(job.ref, number),
-                placed.attempt,
+                placement.attempt,
                 job.spec,
                 machine.id,
                 machine.zone,
-                placed.agent_epoch,
+                placement.agent_epoch,
                 recorded=True,
                 start_sent=True,
                 placed_at=now,
--- a/src/crosscleat/core/control/task_statuses.py
+++ b/src/crosscleat/core/control/task_statuses.py
@@ -1,4 +1,4 @@
-"""What the task list of a heartbeat says of the attempts that were placed on its machine."""
+"""Reconciles the attempts placed on a machine with the task list of its heartbeat."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from .attempts import Attempts
 
 SLOW_START_S = 2.0
-"""Tasks that run later than that after their submission are logged."""
+"""Delay from submission to the start of a task above which the start is logged."""
 
 FIRST_ATTEMPT = Attempt(1)
 
 
 class TaskStatuses:
-    """Reconciles allocations with what the newest heartbeat lists."""
+    """Reconciles allocations with the task list of the newest heartbeat."""
 
     def __init__(
         self, term: LeadingTerm, jobs: dict[JobRef, Job], run_times: RunTimes, attempts: Attempts
@@ -30,13 +30,13 @@
         self._attempts = attempts
 
     def reconcile(self, machine: Machine, allocation: Allocation, task: TaskStatus | None) -> None:
-        """Take in the status of one attempt; None: the newest heartbeat doesn't list it."""
+        """Apply the status of one attempt; None if the newest heartbeat does not list it."""
         if task is None:
             allocation.in_last_heartbeat = False
             if allocation.stopping and not machine.may_still_start(allocation):
                 self._attempts.ended(machine, allocation)
-            elif not allocation.stopping and self._is_of_done_gang(allocation):
-                # No start of it is sent again: it has ended, or is not to begin any more.
+            elif not allocation.stopping and self._gang_is_done(allocation):
+                # No start order is sent for it again: it has ended, or must not start any more.
                 self._attempts.stop(machine, allocation, 0.0)
             return
         allocation.in_last_heartbeat = allocation.start_sent = True
@@ -50,12 +50,12 @@
         if task.state == heartbeats.RUNNING and allocation.running_since is None:
             self._started_running(machine, allocation, job)
 
-    def _is_of_done_gang(self, allocation: Allocation) -> bool:
+    def _gang_is_done(self, allocation: Allocation) -> bool:
         job = self._jobs.get(allocation.task.job)
         return job is not None and job.is_gang and job.done_count > 0
 
     def _started_running(self, machine: Machine, allocation: Allocation, job: Job | None) -> None:
-        """The attempt is listed as running for the first time."""
+        """Handle the first heartbeat that lists the attempt as running."""
         now = self._term.now
         allocation.running_since = now
         machine.use_image(allocation.spec.image, allocation.spec.image_gb, now)
@@ -65,7 +65,7 @@
         if job.is_gang:
             job.progress.mark_running(now)
         waited_s = now - job.submitted
-        if waited_s > SLOW_START_S and allocation.placed_at > self._term.began:
+        if waited_s > SLOW_START_S and allocation.placed_at > self._term.began_at:
             self._term.outbox.log(
                 "debug",
                 f"task {allocation.task} ({allocation.spec.job_class}) runs {waited_s:.1f} s "
@@ -85,15 +85,15 @@
         self._attempts.ended(machine, allocation, cause)
 
     def learn_run_time(self, allocation: Allocation, now: Seconds) -> None:
-        """Compare a completed run with its estimate, if this term saw all of it.
+        """Update the run-time estimates from a completed run that this term observed in full.
 
-        A gang runs as long as its slowest machine takes, and counts once, not once for each task.
+        A gang runs as long as its slowest member, so it counts once and not once for each task.
         """
-        whole = allocation.attempt == FIRST_ATTEMPT or allocation.spec.checkpoint_s <= 0
+        ran_from_start = allocation.attempt == FIRST_ATTEMPT or allocation.spec.checkpoint_s <= 0
         if (
             allocation.running_since is None
-            or allocation.placed_at <= self._term.began
-            or not whole
+            or allocation.placed_at <= self._term.began_at
+            or not ran_from_start
         ):
             return
         job = self._jobs.get(allocation.task.job)
--- a/src/crosscleat/core/control/worker_contact.py
+++ b/src/crosscleat/core/control/worker_contact.py
@@ -1,7 +1,7 @@
-"""Whether this leader is in contact with the workers, or another controller should lead.
+"""Tracks whether workers can reach this leader, or another controller should lead.
 
-Workers keep their tasks only while a leader answers them. So a leader that they can't reach
-resigns, even if the store still renews its lease.
+Workers keep their tasks only while a leader responds to them. A leader that they cannot reach
+therefore resigns, even if the store still renews its lease.
 """
 
 from __future__ import annotations
@@ -12,100 +12,106 @@
 
 MIN_ALL_SILENT_S = 1.2
 MAX_ALL_SILENT_S = 5.0
-"""Bounds of the silence of all machines after which contact counts as lost."""
+"""Bounds on how long all machines must be silent before contact counts as lost."""
 
 MISSING_HEARTBEATS = 25
-"""Between those bounds, contact counts as lost when so many heartbeats are missing."""
+"""Number of missing heartbeats after which contact counts as lost, within those bounds."""
 
 MIN_TICKS = 10
-"""Ticks, a tenth of a second each, that a silence must have lasted as well: a process that was
-suspended has not listened."""
+"""Minimum length of a silence in ticks of 0.1 s, as a suspended process receives no heartbeats and
+the clock alone would count that time as silence."""
 
 CUT_OFF_SHARE = 0.1
 CUT_OFF_MIN = 3
-"""So many of the machines, as a share and as a number, must have missed a direct command before
-the leader takes itself to be cut off from the workers."""
+"""Minimum share and number of machines that must have missed a direct command before the leader
+considers itself cut off from the workers."""
 
 CUT_OFF_S = 2.0
-"""For so long after a heartbeat was expected no worker must have been in direct contact either."""
+"""Time beyond the heartbeat interval without any direct contact, which is required as well."""
 
 
 class WorkerContact:
-    """Takes note of every contact with workers, and of direct commands without an answer."""
+    """Records contacts with workers and unanswered direct commands."""
 
     def __init__(self, deployment: Deployment, now: Seconds) -> None:
         self._deployment = deployment
-        self._unreached: set[MachineId] = set()
-        """Machines that a direct command missed since any worker was last in direct contact."""
-        self._reached_at = now
-        """When a worker was last in direct contact."""
-        self._heartbeat_received_at = now
+        self._unanswered_machines: set[MachineId] = set()
+        """Machines that missed a direct command since the last direct contact with any worker."""
+        self._last_direct_contact_at = now
+        """When any worker was last in direct contact with this controller."""
+        self._last_heartbeat_at = now
         self._ticks_without_heartbeat = 0
         self._ticks_without_status = 0
-        """Ticks since a worker's status came by any way."""
+        """Ticks since the last status of any worker, by heartbeat or direct reply."""
 
     def heartbeat_received(self, now: Seconds) -> None:
-        """A heartbeat came, directly or relayed by another controller."""
-        self._heartbeat_received_at = now
+        """Record a heartbeat, received directly or relayed by another controller."""
+        self._last_heartbeat_at = now
         self._ticks_without_heartbeat = 0
 
     def status_received(self) -> None:
-        """A worker's newer status came, in a heartbeat or in the answer to a direct command."""
+        """Record a newer worker status, from a heartbeat or the reply to a direct command."""
         self._ticks_without_status = 0
 
-    def reached(self, now: Seconds) -> None:
-        """A worker was in contact with this controller, with no other controller between."""
-        self._unreached.clear()
-        self._reached_at = now
+    def direct_contact_made(self, now: Seconds) -> None:
+        """Record contact between a worker and this controller, not through another controller."""
+        self._unanswered_machines.clear()
+        self._last_direct_contact_at = now
 
-    def missed(self, machine: Machine) -> None:
-        """A direct command had no answer."""
-        self._unreached.add(machine.id)
+    def direct_command_missed(self, machine: Machine) -> None:
+        """Record a direct command without a reply."""
+        self._unanswered_machines.add(machine.id)
 
     def tick(self) -> None:
         """Count a tenth of a second in which this process was ready to receive heartbeats."""
         self._ticks_without_status += 1
         self._ticks_without_heartbeat += 1
 
-    def max_silence_s(self, up: int) -> float:
-        """After how long a silence of all machines, `up` in number, contact counts as lost."""
-        expected_s = MISSING_HEARTBEATS * self._deployment.heartbeat_interval_s / max(1, up)
+    def max_silence_s(self, reporting_count: int) -> float:
+        """Silence of all `reporting_count` machines after which contact counts as lost."""
+        expected_s = (
+            MISSING_HEARTBEATS * self._deployment.heartbeat_interval_s / max(1, reporting_count)
+        )
         return min(MAX_ALL_SILENT_S, max(MIN_ALL_SILENT_S, expected_s))
 
     def is_lost(
-        self, machines: list[Machine], up: int, shortest_silence_s: float, now: Seconds
+        self, machines: list[Machine], reporting_count: int, shortest_silence_s: float, now: Seconds
     ) -> bool:
         """Whether no worker can reach this leader.
 
-        `up` is the number of machines that send heartbeats, `shortest_silence_s` for how long all
-        of them have been silent.
+        `reporting_count` is the number of machines that have sent heartbeats, and
+        `shortest_silence_s` is how long all of them have been silent.
         """
         return (
-            self._all_silent(up, shortest_silence_s)
-            or self._no_heartbeats(up, now)
+            self._all_silent(reporting_count, shortest_silence_s)
+            or self._no_heartbeats(reporting_count, now)
             or self._is_cut_off(machines, now)
         )
 
-    def _all_silent(self, up: int, shortest_silence_s: float) -> bool:
-        """Whether no worker's status came by any way for too long."""
+    def _all_silent(self, reporting_count: int, shortest_silence_s: float) -> bool:
+        """Whether no worker status has arrived by any path for too long."""
         return self._ticks_without_status >= MIN_TICKS and shortest_silence_s > self.max_silence_s(
-            up
+            reporting_count
         )
 
-    def _no_heartbeats(self, up: int, now: Seconds) -> bool:
-        """Whether workers answer direct commands at best, and none sends us heartbeats."""
+    def _no_heartbeats(self, reporting_count: int, now: Seconds) -> bool:
+        """Whether no heartbeats arrive, even if workers still reply to direct commands."""
         return (
             self._ticks_without_heartbeat >= MIN_TICKS
-            and up > 1
-            and now - self._heartbeat_received_at > self._deployment.silent_s
+            and reporting_count > 1
+            and now - self._last_heartbeat_at > self._deployment.silent_s
         )
 
     def _is_cut_off(self, machines: list[Machine], now: Seconds) -> bool:
-        """Whether followers receive heartbeats and we reach no worker: one would lead better."""
+        """Whether no worker is in direct contact, so that a follower should lead.
+
+        Followers may still receive heartbeats and relay them to us.
+        """
         reachable = sum(
             1 for machine in machines if machine.has_sent_heartbeat and not machine.decommissioning
         )
         return (
-            len(self._unreached) >= max(CUT_OFF_MIN, CUT_OFF_SHARE * reachable)
-            and now - self._reached_at > self._deployment.heartbeat_interval_s + CUT_OFF_S
+            len(self._unanswered_machines) >= max(CUT_OFF_MIN, CUT_OFF_SHARE * reachable)
+            and now - self._last_direct_contact_at
+            > self._deployment.heartbeat_interval_s + CUT_OFF_S
         )
--- a/src/crosscleat/core/control/writer.py
+++ b/src/crosscleat/core/control/writer.py
@@ -100,16 +100,16 @@
         if self.writing or self._term.retired or token is None:
             return
         if (
-            self._pending.rotation_wanted
+            self._pending.token_rotation_wanted
             and now - self._rotated_at > MIN_ROTATION_S
             and self._rotate(now)
         ):
-            self._pending.rotation_wanted = False
+            self._pending.token_rotation_wanted = False
             return
         with_deferred = now - self._deferred_written_at >= DEFERRED_WRITES_S
-        if not with_deferred and not self._pending.unwritten:
+        if not with_deferred and not self._pending.has_unwritten_changes:
             return
-        self._pending.unwritten = False
+        self._pending.has_unwritten_changes = False
         batch = self._urgent_batch(token, now)
         if with_deferred:
             self._deferred_written_at = now
@@ -127,7 +127,7 @@
             batch.add_record(record)
         self._add_decommissions(batch)
         batch.limit_writes(MAX_END_WRITES)
-        for job in self._pending.ending.values():
+        for job in self._pending.ending_jobs.values():
             if not job.needs_reread and batch.has_capacity(2, 1):
                 batch.end_job(job)
         return batch
@@ -184,7 +184,7 @@
             self._write(batch)
             return
         self.writing = False
-        self._pending.unwritten = True
+        self._pending.has_unwritten_changes = True
         if isinstance(result, Committed):
             self._committed(batch, result.revision)
         elif isinstance(result, Conflict) and self._only_users_changes(batch, result):
@@ -218,7 +218,7 @@
             )
         self._placement_records.mark_rewritten((job, chunk) for job, chunk, _ in batch.chunks)
         for job in batch.ended_jobs:
-            del self._pending.ending[job.ref]
+            del self._pending.ending_jobs[job.ref]
             self._placement_records.remove_job(job)
             self._listener.end_recorded(job)
         self.remove(self._placement_records.take_rewritten())
@@ -264,7 +264,7 @@
         def decided() -> None:
             self.writing = False
 
-        if not self._term.election.rotate(decided):
+        if not self._term.election.rotate_token(decided):
             return False
         self.writing = True
         self._rotated_at = now
--- a/src/crosscleat/core/election/__init__.py
+++ b/src/crosscleat/core/election/__init__.py
@@ -1,9 +1,9 @@
-"""Who leads: the leader key and its fencing token, the term, and the upgrade of all controllers.
+"""Leader election: the leader key with its fencing token, the term, and rolling-upgrade detection.
 
-Owns the leader key, the lease under it and what a term may still do.
+Owns the leader key, its lease, and the limits on what a leader may do in its term.
 May import: `model`, `state`.
 
-- `election` takes, keeps and gives up the leader key, which every controller watches.
-- `term` says what a leader may still do, by its last contact with the store.
-- `upgrade` learns when all controllers run this version.
+- `election` acquires, renews and releases the leader key, which every controller watches.
+- `term` limits what a leader may do, depending on its last contact with the store.
+- `upgrade` detects when all controllers run this version.
 """
--- a/src/crosscleat/core/election/election.py
+++ b/src/crosscleat/core/election/election.py
@@ -1,10 +1,10 @@
 """Leader election: one key in the store under a lease; the key's version is the fencing token.
 
-Taking the key over, rotating it and every write of a leader are conditional on its version, so a
-controller that lost it can change nothing, whatever it still believes.
+Taking over the key, rotating the token and every write of a leader are conditional on the key's
+version, so a controller that has lost the key can no longer change the store.
 
-A follower watches the key. When the key is gone, it asks for a lease and puts the key under it. A
-leader renews its lease until it resigns or the lease has expired.
+A follower watches the key. When the key is gone, the follower requests a lease and writes the key
+under it. A leader renews its lease until it resigns or the lease has expired.
 """
 
 from __future__ import annotations
@@ -37,47 +37,47 @@
 )
 from ..state.keys import LEADER
 
-LEASE_LIFE_S = 3.0
-"""The leader key goes away so long after the last renewal of its lease."""
+LEADER_LEASE_TTL_S = 3.0
+"""Time after the last renewal of its lease at which the leader key is removed."""
 
-RENEW_S = 0.8
-"""From a renewal that was answered to the next."""
+RENEWAL_INTERVAL_S = 0.8
+"""Delay from a successful renewal to the next."""
 
-RENEW_RETRY_S = 0.4
-"""From a renewal without an answer to the next."""
+RENEWAL_RETRY_S = 0.4
+"""Delay from an unanswered renewal to the next."""
 
 WATCH_BLOCK_S = 4.0
-"""For so long the store may hold back the answer of a watch that has nothing to say."""
+"""Maximum time for which the store may block a watch without changes before it answers."""
 
-MIN_REVOKE_S = 20.0
-"""Least time between two revocations of other leaders' leases."""
+MIN_REVOCATION_INTERVAL_S = 20.0
+"""Minimum time between two revocations of other leaders' leases."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderRecord:
-    """Who leads, and under which lease, as the leader key says."""
+    """The value of the leader key: the leader and its lease."""
 
     member: Member
     lease: LeaseId
 
     @classmethod
     def parse(cls, record: Record) -> LeaderRecord:
-        """The record as the store has it."""
+        """Parse the record that is stored under the leader key."""
         return cls(Member(record["member"]), LeaseId(record["lease"]))
 
 
 class ElectionListener(Protocol):
-    """Is told when a term of ours begins and ends (`control.controller.Controller`)."""
+    """Is notified when this controller's term begins or ends (`control.controller.Controller`)."""
 
     def elected(self, token: Token) -> None:
-        """This controller leads, with this fencing token."""
+        """Called when this controller has become the leader, with its fencing token."""
 
     def term_lost(self, reason: str) -> None:
-        """This controller no longer leads."""
+        """Called when this controller is no longer the leader."""
 
 
 class Election:
-    """Takes, keeps and gives up the leader key."""
+    """Acquires, renews and releases the leader key."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
         clock: Callable[[], Seconds],
         listener: ElectionListener,
     ) -> None:
-        """Take no part before `begin`; `boot` names this process among those of the same member."""
+        """Create it inactive; `boot` tells this process from earlier ones of the same member."""
         self._member = member
         self._boot = boot
         self._outbox = outbox
@@ -96,18 +96,18 @@
         self._clock = clock
         self._listener = listener
         self._lease: LeaseId | None = None
-        """Our lease, while we lead or try to."""
+        """Our lease, while we lead or campaign."""
         self._generation = 0
-        """Raised by each resignation; what calls of an earlier generation bring is dropped."""
+        """Incremented by each resignation; results of earlier generations' calls are ignored."""
         self._leader_lease: LeaseId | None = None
-        """The lease of the leader that we follow, until we have revoked it."""
-        self._revoked_at: Seconds | None = None
+        """The lease of the leader that we follow; None once we have revoked it."""
+        self._last_revocation_at: Seconds | None = None
         self.token: Token | None = None
         """Our fencing token while we lead."""
         self.leader: Member | None = None
-        """Who leads, as far as we know."""
-        self.contact = LONG_AGO
-        """When the renewal that last confirmed our leadership was sent."""
+        """The current leader, as far as known."""
+        self.last_confirmed_at = LONG_AGO
+        """When the last request that confirmed our leadership was sent."""
 
     @property
     def leading(self) -> bool:
@@ -116,84 +116,92 @@
 
     # Following
 
-    def begin(self) -> None:
-        """Read the leader key, and follow or campaign by what it says."""
+    def start(self) -> None:
+        """Read the leader key, then follow the leader or campaign."""
         generation = self._generation
-        self._outbox.add(Read(LEADER, lambda found: self._leader_read(generation, found)))
+        self._outbox.add(Read(LEADER, lambda result: self._leader_key_read(generation, result)))
 
-    def _later(self, delay_s: float, continuation: Callable[[], None]) -> None:
+    def _run_later(self, delay_s: float, continuation: Callable[[], None]) -> None:
         self._outbox.add(Delay(delay_s, continuation))
 
-    def _begin_later(self, delay_s: float) -> None:
+    def _restart_later(self, delay_s: float) -> None:
         generation = self._generation
-        self._later(delay_s, lambda: self._begin_if_current(generation))
+        self._run_later(delay_s, lambda: self._restart_if_current(generation))
 
-    def _begin_if_current(self, generation: int) -> None:
+    def _restart_if_current(self, generation: int) -> None:
         if generation == self._generation:
-            self.begin()
+            self.start()
 
-    def _leader_read(self, generation: int, found: ReadResult | Unanswered) -> None:
+    def _leader_key_read(self, generation: int, result: ReadResult | Unanswered) -> None:
         if generation != self._generation:
             return
-        if isinstance(found, Unanswered):
-            self._begin_later(0.3 + 0.4 * self._rng.random())
-        elif found.item is None:
+        if isinstance(result, Unanswered):
+            self._restart_later(0.3 + 0.4 * self._rng.random())
+        elif result.item is None:
             self.leader = None
             self._campaign(ABSENT)
         else:
-            self._follow(found.item.value)
+            self._follow(result.item.value)
             if self.leader == self._member:
-                # An earlier process of ours holds it. Nobody else may use that token, and this
-                # process knows of no command sent with it: take the key over with a new one.
-                self._campaign(found.item.version)
+                # An earlier process of this member holds the key. No other controller may use that
+                # token, and this process knows of no command that was sent with it, so it takes
+                # over the key with a new token.
+                self._campaign(result.item.version)
             else:
-                self._watch(found.revision)
+                self._watch(result.revision)
 
     def _follow(self, record: Record) -> None:
         leader = LeaderRecord.parse(record)
         self.leader = leader.member
         self._leader_lease = leader.lease
 
-    def _watch(self, after: Version) -> None:
+    def _watch(self, after_revision: Version) -> None:
         generation = self._generation
         self._outbox.add(
             Watch(
                 LEADER,
-                after,
+                after_revision,
                 WATCH_BLOCK_S,
-                lambda outcome: self._watch_answered(generation, after, outcome),
+                lambda outcome: self._watch_answered(generation, after_revision, outcome),
             )
         )
 
-    def _watch_answered(self, generation: int, after: Version, outcome: WatchOutcome) -> None:
+    def _watch_answered(
+        self, generation: int, after_revision: Version, outcome: WatchOutcome
+    ) -> None:
         if generation != self._generation:
             return
         if not isinstance(outcome, WatchResult):
-            self._begin_later(0.2 + 0.3 * self._rng.random())
+            self._restart_later(0.2 + 0.3 * self._rng.random())
             return
         changes = [change for change in outcome.changes if change.key == LEADER]
         if not changes:
-            self._watch(max(after, outcome.revision))
+            self._watch(max(after_revision, outcome.revision))
         elif changes[-1].version == ABSENT:
             self.leader = None
-            # Not all at the same instant: the store counts failed transactions too.
-            self._begin_later(0.05 * self._rng.random())
+            # Delayed at random, so that not all candidates write at once: the store counts failed
+            # transactions too.
+            self._restart_later(0.05 * self._rng.random())
         else:
             self._follow(changes[-1].value)
             self._watch(outcome.revision)
 
     def revoke_leader_lease(self, member: Member) -> None:
-        """The leader refuses connections: revoke its lease rather than wait until it expires.
+        """Revoke the lease of a leader that refuses connections instead of waiting for its expiry.
 
-        A refused connection proves nothing, and need not: a leader that is alive finds its lease
-        expired at its next renewal, and whoever is elected allows for what it still sends. An
-        error costs a change of leader, so the time between two revocations is bounded.
+        A refused connection does not prove that the leader has ended, but revoking is safe: a
+        live leader finds its lease expired at the next renewal, and its successor allows for
+        messages that it still sends. A wrong revocation costs a change of leader, so there is a
+        minimum time between two revocations.
         """
         now = self._clock()
         if self.leading or self.leader != member or self._leader_lease is None:
             return
-        if self._revoked_at is None or now - self._revoked_at > MIN_REVOKE_S:
-            self._revoked_at = now
+        if (
+            self._last_revocation_at is None
+            or now - self._last_revocation_at > MIN_REVOCATION_INTERVAL_S
+        ):
+            self._last_revocation_at = now
             self._outbox.log("info", f"leader {member} refuses connections: revoking its lease")
             self._outbox.add(RevokeLease(self._leader_lease))
             self._leader_lease = None
@@ -201,10 +209,12 @@
     # Campaigning
 
     def _campaign(self, version: Version) -> None:
-        """Ask for a lease, then put the leader key under it if it still has this version."""
+        """Request a lease, then write the leader key under it if the key still has this version."""
         generation = self._generation
         self._outbox.add(
-            GrantLease(LEASE_LIFE_S, lambda lease: self._lease_granted(generation, version, lease))
+            GrantLease(
+                LEADER_LEASE_TTL_S, lambda lease: self._lease_granted(generation, version, lease)
+            )
         )
 
     def _lease_granted(
@@ -213,40 +223,40 @@
         if generation != self._generation:
             return
         if isinstance(lease, Unanswered):
-            self._begin_later(0.3 + 0.4 * self._rng.random())
+            self._restart_later(0.3 + 0.4 * self._rng.random())
             return
         self._lease = lease
-        sent = self._clock()
+        sent_at = self._clock()
         self._outbox.add(
             Commit(
                 ((LEADER, version),),
-                (Put(LEADER, self._record(lease), lease),),
-                lambda result: self._key_decided(generation, lease, sent, result),
+                (Put(LEADER, self._leader_record(lease), lease),),
+                lambda result: self._key_write_completed(generation, lease, sent_at, result),
             )
         )
 
-    def _record(self, lease: LeaseId) -> Record:
+    def _leader_record(self, lease: LeaseId) -> Record:
         return {"member": self._member, "boot": self._boot, "lease": lease}
 
-    def _key_decided(
+    def _key_write_completed(
         self,
         generation: int,
         lease: LeaseId,
-        sent: Seconds,
+        sent_at: Seconds,
         result: CommitOutcome,
     ) -> None:
         if generation != self._generation:
             return
         if not isinstance(result, Committed):
-            # It may have been carried out, or may be later: without its lease the key goes away.
+            # An unanswered write may take effect, even later; revoking the lease removes the key.
             self._outbox.add(RevokeLease(lease))
             self._lease = None
-            self._begin_later(0.1 + 0.2 * self._rng.random())
+            self._restart_later(0.1 + 0.2 * self._rng.random())
             return
         self.token = Token(result.revision)
         self.leader = self._member
-        self.contact = sent
-        self._later(RENEW_S, lambda: self._renew(generation))
+        self.last_confirmed_at = sent_at
+        self._run_later(RENEWAL_INTERVAL_S, lambda: self._renew(generation))
         self._listener.elected(self.token)
 
     # Leading
@@ -254,57 +264,59 @@
     def _renew(self, generation: int) -> None:
         if generation != self._generation or self._lease is None:
             return
-        sent = self._clock()
+        sent_at = self._clock()
         self._outbox.add(
-            RenewLease(self._lease, lambda outcome: self._renewed(generation, sent, outcome))
+            RenewLease(self._lease, lambda outcome: self._renewed(generation, sent_at, outcome))
         )
 
-    def _renewed(self, generation: int, sent: Seconds, outcome: RenewalOutcome) -> None:
+    def _renewed(self, generation: int, sent_at: Seconds, outcome: RenewalOutcome) -> None:
         if generation != self._generation:
             return
         if isinstance(outcome, NoSuchLease):
-            self.resign("its lease has expired")
+            self.resign("the leader lease has expired")
             return
         renewed = isinstance(outcome, LeaseRenewed)
         if renewed:
-            self.contact = max(self.contact, sent)
-        self._later(RENEW_S if renewed else RENEW_RETRY_S, lambda: self._renew(generation))
+            self.last_confirmed_at = max(self.last_confirmed_at, sent_at)
+        self._run_later(
+            RENEWAL_INTERVAL_S if renewed else RENEWAL_RETRY_S, lambda: self._renew(generation)
+        )
 
-    def rotate(self, decided: Callable[[], None]) -> bool:
-        """Write the leader key once more, which gives us a higher token.
+    def rotate_token(self, completed: Callable[[], None]) -> bool:
+        """Rewrite the leader key to obtain a higher fencing token.
 
-        Returns whether the transaction was sent; if so, `decided` is called after its outcome has
-        been taken in. No other write of ours may be in flight meanwhile.
+        Returns whether the transaction was sent; if so, `completed` is called after its outcome
+        has been processed. No other write of this leader may be in flight meanwhile.
         """
         if self.token is None or self._lease is None:
             return False
         generation = self._generation
 
         def rotated(result: CommitOutcome) -> None:
-            self._rotated(generation, result)
-            decided()
+            self._token_rotated(generation, result)
+            completed()
 
         self._outbox.add(
             Commit(
                 ((LEADER, Version(self.token)),),
-                (Put(LEADER, self._record(self._lease), self._lease),),
+                (Put(LEADER, self._leader_record(self._lease), self._lease),),
                 rotated,
             )
         )
         return True
 
-    def _rotated(self, generation: int, result: CommitOutcome) -> None:
+    def _token_rotated(self, generation: int, result: CommitOutcome) -> None:
         if generation != self._generation:
             return
         if isinstance(result, Committed):
             self.token = Token(result.revision)
         else:
-            self.resign("the token could not be rotated")
+            self.resign("the fencing token could not be rotated")
 
-    def resign(self, reason: str, rest_s: float = 0.3) -> None:
-        """Stop leading; the next leader's higher token fences off what we have sent.
+    def resign(self, reason: str, backoff_s: float = 0.3) -> None:
+        """Stop leading; the next leader's higher token fences off the commands that we have sent.
 
-        `rest_s` is how long we leave the key to others before we read it again.
+        `backoff_s` is the minimum time before we read the leader key again and may campaign.
         """
         self._generation += 1
         if self._lease is not None:
@@ -316,5 +328,5 @@
         generation = self._generation
         if was_leading:
             self._listener.term_lost(reason)
-        delay_s = rest_s + 0.5 * self._rng.random()
-        self._later(delay_s, lambda: self._begin_if_current(generation))
+        delay_s = backoff_s + 0.5 * self._rng.random()
+        self._run_later(delay_s, lambda: self._restart_if_current(generation))
--- a/src/crosscleat/core/election/term.py
+++ b/src/crosscleat/core/election/term.py
@@ -1,4 +1,4 @@
-"""One term of leadership: since when, with which fencing token, and what it may still do."""
+"""One term of leadership: its start, its fencing token, and the limits on what it may do."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from .election import Election
 
 LEASE_MARGIN_S = 1.5
-"""Kept free of `cancel_s` for messages and timers."""
+"""Part of `cancel_s` that is reserved for message delays and timers."""
 
 CLOCK_DRIFT = 1.001
-"""Twice the 0.05% by which two steady clocks may differ, with a little to spare."""
+"""Allowance for clock drift: twice the 0.05% by which two monotonic clocks may differ."""
 
-START_CONTACT_S = 3.0
-"""With a last contact older than that nothing is started or rented."""
+MAX_START_CONTACT_AGE_S = 3.0
+"""Maximum age of the last contact with the store at which tasks are started or machines rented."""
 
 
 class LeadingTerm:
-    """What all parts of a leader share of its term."""
+    """The state of a term that all parts of a leader share."""
 
     def __init__(
         self, deployment: Deployment, election: Election, outbox: Outbox, now: Seconds
@@ -27,48 +27,50 @@
         self.election = election
         self.outbox = outbox
         self.now = now
-        """When the present step of the controller began."""
-        self.began = now
-        self.began_token = election.token or 0
-        """The fencing token that the term began with; rotations raise the present one."""
-        self.jobs_known_at = now
-        """Cancellations until then are known: when the watch that last answered was opened, or the
-        live jobs were asked for."""
+        """When the current step of the controller began."""
+        self.began_at = now
+        self.initial_token = election.token or 0
+        """The fencing token at the start of the term; rotations raise the current one."""
+        self.cancellations_known_until = now
+        """All cancellations up to this time are known.
+
+        It is when the watch that last answered was opened, or when the live jobs were requested.
+        """
         self.retired = False
-        """The term is over: late answers must not act for it."""
+        """Whether the term is over, so that late replies must be ignored."""
 
     def advance(self, now: Seconds) -> None:
-        """A step of the controller begins."""
+        """Begin a step of the controller."""
         self.now = now
 
     def retire(self) -> None:
         """End the term."""
         self.retired = True
 
-    def jobs_read(self, asked: Seconds) -> None:
-        """The live jobs that the term starts from were asked for at that time."""
-        self.jobs_known_at = asked
+    def jobs_read(self, requested_at: Seconds) -> None:
+        """Record when the live jobs that the term starts with were requested."""
+        self.cancellations_known_until = requested_at
 
-    def watch_answered(self, opened: Seconds) -> None:
-        """A watch of the live jobs, opened at that time, has brought all changes until then."""
-        self.jobs_known_at = max(self.jobs_known_at, opened)
+    def watch_answered(self, opened_at: Seconds) -> None:
+        """Record that a watch of the live jobs has returned all changes up to its opening."""
+        self.cancellations_known_until = max(self.cancellations_known_until, opened_at)
 
     def renewal_window_s(self) -> float:
-        """For how long after its last contact with the store a leader renews workers' leases."""
+        """How long after its last contact with the store a leader still renews workers' leases."""
         return max(0.0, self.deployment.cancel_s - self.deployment.lease_s - LEASE_MARGIN_S)
 
-    def _contact(self) -> Seconds:
-        """When the store last confirmed that we lead and had brought us all cancellations."""
-        return min(self.election.contact, self.jobs_known_at)
+    def _last_contact(self) -> Seconds:
+        """The latest time at which we were leader and knew all cancellations, per the store."""
+        return min(self.election.last_confirmed_at, self.cancellations_known_until)
 
-    def renew_until(self) -> Seconds:
-        """Until when workers' leases are renewed.
+    def renewal_deadline(self) -> Seconds:
+        """The time until which workers' leases may be renewed.
 
         A cancellation that another controller accepts must take effect within `cancel_s`, even if
         this leader never receives it.
         """
-        return Seconds(self._contact() + self.renewal_window_s() / CLOCK_DRIFT)
+        return Seconds(self._last_contact() + self.renewal_window_s() / CLOCK_DRIFT)
 
     def may_start(self, now: Seconds) -> bool:
-        """Whether contact with the store is fresh enough to start tasks or rent machines."""
-        return self.election.leading and now - self._contact() <= START_CONTACT_S
+        """Whether the last store contact is recent enough to start tasks or rent machines."""
+        return self.election.leading and now - self._last_contact() <= MAX_START_CONTACT_AGE_S
--- a/src/crosscleat/core/election/upgrade.py
+++ b/src/crosscleat/core/election/upgrade.py
@@ -1,9 +1,9 @@
-"""Whether all controllers run the version that knows gangs and may shorten chunks.
+"""Detects when all controllers run the version that supports gangs and shortened chunks.
 
-Each puts a key of its own, `format/<member>`, into the store when it begins, and reads those keys
-until all members have one. The version before knows nothing of them, so a member without a key may
-still run that version, whether or not it can be reached. A key stays: a member that runs this
-version is never again taken for one that does not.
+At startup, each controller writes its own key `format/<member>` to the store, then reads these keys
+until all members have one. The previous version does not write the key, so a member without a key
+may still run that version, whether or not it can be reached. Keys are never removed, so a member
+that has once run this version always counts as upgraded.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 from ..state.keys import FORMAT
 
 FORMAT_VERSION = 2
-"""What our key says; a later version may raise it."""
+"""The version stored under our key; a later version may raise it."""
 
-POLL_S = 1.0
-"""Between two reads of the keys, and before a write without an answer is repeated."""
+POLL_INTERVAL_S = 1.0
+"""Delay between two reads of the keys, and before an unanswered write is repeated."""
 
 
 class Upgrade:
-    """Learns when all controllers run this version."""
+    """Detects when all controllers run this version."""
 
     def __init__(
         self,
@@ -50,29 +50,29 @@
         self.complete = False
         """Whether all controllers run this version."""
 
-    def begin(self) -> None:
-        """Put our key, then read those of the others."""
+    def start(self) -> None:
+        """Write our key, then read the keys of all members."""
         write = Put(self._key, {"version": FORMAT_VERSION})
-        self._outbox.add(Commit(((self._key, ABSENT),), (write,), self._put))
+        self._outbox.add(Commit(((self._key, ABSENT),), (write,), self._key_written))
 
-    def _put(self, result: CommitOutcome) -> None:
-        # A conflict: an earlier process of ours has put it, or this very try did.
+    def _key_written(self, result: CommitOutcome) -> None:
+        # Conflict: an earlier process of this member, or this same request, has written the key.
         if isinstance(result, (Committed, Conflict)):
-            self._read()
+            self._read_keys()
         else:
-            self._outbox.add(Delay(POLL_S, self.begin))
+            self._outbox.add(Delay(POLL_INTERVAL_S, self.start))
 
-    def _read(self) -> None:
-        self._outbox.add(Scan(FORMAT, self._scanned))
+    def _read_keys(self) -> None:
+        self._outbox.add(Scan(FORMAT, self._keys_read))
 
-    def _scanned(self, listing: ScanResult | Unanswered) -> None:
+    def _keys_read(self, listing: ScanResult | Unanswered) -> None:
         if isinstance(listing, ScanResult):
             self.formats_read(listing.items)
         if not self.complete:
-            self._outbox.add(Delay(POLL_S, self._read))
+            self._outbox.add(Delay(POLL_INTERVAL_S, self._read_keys))
 
     def formats_read(self, items: Iterable[Item]) -> None:
-        """Take in the keys as the store has them now."""
+        """Process the keys that are currently in the store."""
         members = {item.key.removeprefix(FORMAT) for item in items}
         if not self.complete and members.issuperset(self._members):
             self.complete = True
--- a/src/crosscleat/runtime/service.py
+++ b/src/crosscleat/runtime/service.py
@@ -62,7 +62,7 @@
 
     def ready(self) -> bool:
         """Whether the load balancer should send users to this controller."""
-        return self._controller.knows_types and not self._health.is_cut_off()
+        return self._controller.knows_machine_types and not self._health.is_cut_off()
 
     async def ask(self, make_input: Callable[[int], UserInput]) -> Response | None:
         """The controller's answer to a user's request; None: there was none in time."""
--- a/tests/effects.py
+++ b/tests/effects.py
@@ -1,4 +1,4 @@
-"""Takes effects out of an outbox, for the tests."""
+"""Test helpers that take effects out of an outbox."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 def only(outbox: Outbox, effect_type: type[E]) -> E:
-    """The only effect in the outbox, which is of this type."""
+    """Take the only effect out of the outbox; it must be of this type."""
     (effect,) = outbox.take()
     assert isinstance(effect, effect_type)
     return effect
 
 
 def only_response(outbox: Outbox) -> Response:
-    """The only effect in the outbox, which is a response with a body."""
+    """Take the only effect out of the outbox; it must be a response with a body."""
     response = only(outbox, Response)
     assert response.body is not None
     return response
 
 
-class NoTerm:
-    """Listens to an election that the test does not hold."""
+class NoElectionExpected:
+    """An election listener for tests in which no election may be won or term lost."""
 
     def elected(self, token: Token) -> None:
-        raise AssertionError("nobody was to be elected")
+        raise AssertionError("no controller should be elected")
 
     def term_lost(self, reason: str) -> None:
-        raise AssertionError("there was no term to lose")
+        raise AssertionError("no term should be lost")
--- a/tests/term.py
+++ b/tests/term.py
@@ -1,4 +1,4 @@
-"""A leader on its own; the test sets its clock and takes its effects."""
+"""Test harness for a single leader; the test sets its clock and takes its effects."""
 
 from __future__ import annotations
 
@@ -28,37 +28,41 @@
 
 from .world import TYPES, deployment, job
 
-TERM_BEGAN = Seconds(50.0)
+TERM_BEGAN_AT = Seconds(50.0)
 TOKEN = 9
 
 
 class Term:
-    """A leader on its own; the test sets its clock and takes its effects."""
+    """A single leader in its term; the test sets its clock and takes its effects."""
 
-    def __init__(self, live: list[Item] | None = None, work: list[Item] | None = None) -> None:
+    def __init__(
+        self, job_records: list[Item] | None = None, placement_records: list[Item] | None = None
+    ) -> None:
         self.outbox = Outbox()
-        self.now = TERM_BEGAN
+        self.now = TERM_BEGAN_AT
         self.resignations: list[str] = []
-        """The reasons for which the leader gave up its term."""
+        """The reasons that the leader gave for resigning."""
         election = Election(Member("c0"), "boot", self.outbox, Random(1), lambda: self.now, self)
         election.token = Token(TOKEN)
-        election.contact = TERM_BEGAN
+        election.last_confirmed_at = TERM_BEGAN_AT
         types = {machine_type.name: machine_type for machine_type in TYPES}
         self.leader = build_leader(
-            deployment("c0"), election, self.outbox, Random(1), types, TERM_BEGAN, WallTime(0.0)
+            deployment("c0"), election, self.outbox, Random(1), types, TERM_BEGAN_AT, WallTime(0.0)
         )
-        load_records(self.leader, live or [], work or [], [], TERM_BEGAN)
+        load_records(self.leader, job_records or [], placement_records or [], [], TERM_BEGAN_AT)
 
     def elected(self, token: Token) -> None:
-        """No election is held: the term begins with the leader."""
+        """Never called: the harness starts with a leader instead of an election."""
 
     def term_lost(self, reason: str) -> None:
         self.resignations.append(reason)
 
     def step(self, seconds: float) -> None:
-        """Time passes; the leader is in contact with the store all along."""
+        """Advance the clock, with the leader in contact with the store all the time."""
         self.now = self.leader.term.now = Seconds(self.now + seconds)
-        self.leader.term.election.contact = self.leader.term.jobs_known_at = self.now
+        self.leader.term.election.last_confirmed_at = self.leader.term.cancellations_known_until = (
+            self.now
+        )
 
     def heartbeat(
         self,
@@ -81,7 +85,7 @@
         machine: str = "m-0",
         tasks: tuple[TaskStatus, ...] = (),
     ) -> list[Effect]:
-        """Delivers a heartbeat with this agent epoch and sequence; returns what the leader does."""
+        """Deliver a heartbeat with this agent epoch and sequence; return the leader's effects."""
         self.outbox.take()
         self.leader.receive_heartbeat(
             1, self.heartbeat(machine, heartbeat_id, token, tasks), self.now, relayed
@@ -90,15 +94,17 @@
 
     @property
     def usable(self) -> bool:
+        """Whether tasks may be placed on the machine m-0."""
         return self.leader.machines.usable(self.leader.cluster.machines[MachineId("m-0")], self.now)
 
     @property
     def decommissioning(self) -> bool:
+        """Whether the machine m-0 is being decommissioned."""
         return self.leader.cluster.machines[MachineId("m-0")].decommissioning
 
 
 def recorded_job(agent_epoch: int, estimate_s: float = 6.0) -> tuple[list[Item], list[Item]]:
-    """The job and placement records of one job with a task on m-0, placed in that agent epoch."""
+    """Job and placement records of a job with one task, placed on m-0 in this agent epoch."""
     spec = job("job-1", tasks=1, estimate_s=estimate_s)
     before = Job(spec, Version(3), Seconds(0.0))
     before.place(MachineId("m-0"), AgentEpoch(agent_epoch))
--- a/tests/test_encoded_jobs.py
+++ b/tests/test_encoded_jobs.py
@@ -39,7 +39,7 @@
 from crosscleat.wire import users
 from crosscleat.wire.workers import HeartbeatReply
 
-from .effects import NoTerm, only, only_response
+from .effects import NoElectionExpected, only, only_response
 from .encoded import LIVE, SPEC, STORED_SPEC, SUBMISSION, pack, unpack
 from .user_requests import user_requests
 from .world import job
@@ -282,7 +282,7 @@
 
 def test_a_controller_puts_the_number_of_its_format() -> None:
     outbox = Outbox()
-    Upgrade(Member("c0"), (Member("c0"),), outbox, lambda: None).begin()
+    Upgrade(Member("c0"), (Member("c0"),), outbox, lambda: None).start()
     commit = only(outbox, Commit)
     assert commit.conditions == (("format/c0", 0),)
     assert commit.writes == (Put("format/c0", {"version": 2}),)
@@ -293,6 +293,8 @@
 
 def test_the_leader_is_looked_up_under_its_key() -> None:
     outbox = Outbox()
-    Election(Member("c1"), "0123456789abcdef", outbox, Random(1), lambda: NOW, NoTerm()).begin()
+    Election(
+        Member("c1"), "0123456789abcdef", outbox, Random(1), lambda: NOW, NoElectionExpected()
+    ).start()
 
     assert only(outbox, Read).key == "leader"
--- a/tests/test_gang_progress.py
+++ b/tests/test_gang_progress.py
@@ -56,7 +56,7 @@
     for _, allocation in list(term.leader.cluster.allocations_of(gang)):
         allocation.spec, allocation.attempt = checkpoints, Attempt(attempt)
         allocation.running_since = Seconds(term.now - 20.0)
-        allocation.placed_at = Seconds(term.leader.term.began + 0.1)
+        allocation.placed_at = Seconds(term.leader.term.began_at + 0.1)
         term.leader.task_statuses.learn_run_time(allocation, term.now)
         gang.done_count += 1
 
--- a/tests/test_leader_without_workers.py
+++ b/tests/test_leader_without_workers.py
@@ -1,4 +1,9 @@
-"""When a leader resigns because it does not reach its workers, or they do not reach it."""
+"""A leader resigns if it cannot reach its workers, or they cannot reach it.
+
+Workers stop their tasks when their leases expire, so a leader that is cut off from them, but not
+from the store, would lose all work. It must resign in time, but not for a single silent worker,
+after a suspension of its own process, or while workers switch to it.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +29,7 @@
 
     for request in requests[:4]:
         request.continuation(DirectReply(None, False))
-    # A single worker that reaches the leader speaks against resigning.
+    # While a single worker reaches the leader directly, it must not resign.
     term.step(6.0)
     term.receive_heartbeat((1, 1), relayed=False)
     term.leader.tick(term.now)
@@ -35,7 +40,7 @@
     term.step(6.0)
     term.receive_heartbeat((1, 2), relayed=True)
     term.leader.tick(term.now)
-    assert term.resignations == ["no worker reaches us"]
+    assert term.resignations == ["no worker can reach this controller"]
 
 
 def test_a_leader_of_many_machines_resigns_soon_without_heartbeats() -> None:
@@ -46,7 +51,7 @@
         machine.has_sent_heartbeat = True
         machine.last_heartbeat_at = machine.created_at = term.now
         term.leader.cluster.machines[machine.id] = machine
-    # A process that was frozen has received nothing; its workers are not silent for that.
+    # A process that was suspended has received nothing, which does not make its workers silent.
     term.step(4.0)
     term.leader.tick(term.now)
     assert term.resignations == []
@@ -54,7 +59,7 @@
     for _ in range(9):
         term.step(0.01)
         term.leader.tick(term.now)
-    assert term.resignations == ["no worker reaches us"]
+    assert term.resignations == ["no worker can reach this controller"]
 
 
 def test_a_leader_whose_responses_reach_no_worker_resigns_and_returns_no_machine() -> None:
@@ -71,12 +76,12 @@
 
     term.leader.tick(term.now)
 
-    assert term.resignations == ["no worker receives our answers"]
+    assert term.resignations == ["no worker receives our responses"]
     assert not any(machine.decommissioning for machine in term.leader.cluster.machines.values())
 
 
 def busy_term(machines: int) -> Term:
-    """A leader with many machines that have sent heartbeats; its effects so far are dropped."""
+    """A leader with many machines that have sent heartbeats; earlier effects are discarded."""
     term = Term()
     for number in range(machines):
         term.receive_heartbeat((1, 1), machine=f"m-{number}")
@@ -86,7 +91,7 @@
 
 
 def heartbeats_requested_in(term: Term, seconds: float, answers: bool) -> int:
-    """Time passes without heartbeats; returns how many the leader requested directly."""
+    """Let time pass without heartbeats; return how many the leader requested directly."""
     requested = 0
     for _ in range(int(seconds / 0.1)):
         term.step(0.1)
@@ -101,20 +106,20 @@
 
 
 def test_a_leader_that_workers_answer_waits_for_their_heartbeats() -> None:
-    # All workers used a controller that ended; each takes up to 5 s to turn to another.
+    # All workers used a controller that ended; each takes up to 5 s to switch to another.
     term = busy_term(100)
     assert heartbeats_requested_in(term, 4.5, answers=True) > 0
     assert term.resignations == []
-    # But a leader that no worker turns to is of no use, even if they answer its requests.
+    # But a leader to which no worker sends heartbeats must resign, even if they answer requests.
     heartbeats_requested_in(term, LEASE_S, answers=True)
-    assert term.resignations[:1] == ["no worker reaches us"]
+    assert term.resignations[:1] == ["no worker can reach this controller"]
 
 
 def test_a_leader_that_no_worker_answers_resigns_soon() -> None:
     term = busy_term(100)
     heartbeats_requested_in(term, 1.5, answers=False)
 
-    assert term.resignations[:1] == ["no worker reaches us"]
+    assert term.resignations[:1] == ["no worker can reach this controller"]
 
 
 def test_a_new_leader_requests_heartbeats_in_batches_with_free_machines_first() -> None:
@@ -135,4 +140,4 @@
         assert len(batch) <= 50
         requested += batch
     assert sorted(requested) == sorted(machine.address for machine in listed)
-    assert requested[-1] == "m-0", "the only one that is known to have a task"
+    assert requested[-1] == "m-0", "the only machine known to have a task comes last"
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -23,7 +23,7 @@
 from crosscleat.core.state.jobs import Job
 from crosscleat.core.state.machine import Machine
 
-from .term import TERM_BEGAN, Term
+from .term import TERM_BEGAN_AT, Term
 from .world import TYPES, job
 
 
@@ -51,7 +51,7 @@
 
     assert (
         retries_of(failing_job).not_before(machine_of(0), failing_job, 0, "odd")
-        == TERM_BEGAN + ENDED_PAUSE_S
+        == TERM_BEGAN_AT + ENDED_PAUSE_S
     )
 
 
@@ -60,16 +60,16 @@
 
     assert (
         retries_of(failing_job).not_before(machine, failing_job, 0, NO_CAPACITY)
-        == TERM_BEGAN + REFUSED_PAUSE_S
+        == TERM_BEGAN_AT + REFUSED_PAUSE_S
     )
-    assert machine.placement_paused_until == TERM_BEGAN + FULL_PAUSE_S
+    assert machine.placement_paused_until == TERM_BEGAN_AT + FULL_PAUSE_S
 
 
 def test_a_refused_gang_member_is_placed_again_at_once_as_the_others_may_wait() -> None:
     gang, machine = job_of(1, Shape.GANG), machine_of(0)
 
     assert retries_of(gang).not_before(machine, gang, 0, NO_CAPACITY) is None
-    assert machine.placement_paused_until == TERM_BEGAN + FULL_PAUSE_S
+    assert machine.placement_paused_until == TERM_BEGAN_AT + FULL_PAUSE_S
 
 
 def test_pauses_double_with_each_failure_up_to_a_limit() -> None:
@@ -77,7 +77,8 @@
     retries = retries_of(failing_job)
 
     pauses = [
-        (retries.not_before(machine_of(number), failing_job, 0, ERROR) or TERM_BEGAN) - TERM_BEGAN
+        (retries.not_before(machine_of(number), failing_job, 0, ERROR) or TERM_BEGAN_AT)
+        - TERM_BEGAN_AT
         for number in range(9)
     ]
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -15,7 +15,7 @@
 from crosscleat.core.capacity.machines import Machines
 from crosscleat.core.capacity.pool_catalog import PoolCatalog
 from crosscleat.core.capacity.pools import MAX_PER_RENTAL
-from crosscleat.core.control.leader import WATCHED_PER_S
+from crosscleat.core.control.leader import MACHINE_CHECKS_PER_S
 from crosscleat.core.control.progress import MAX_COUNTS
 from crosscleat.core.control.scheduler import PROMPT_MACHINES
 from crosscleat.core.model.cloud import MachineType
@@ -291,7 +291,7 @@
         term.leader.tick(term.now)
         term.leader.finish_step(term.now)
 
-    assert 2 * machines <= watched[0] <= 6 * 1.3 * WATCHED_PER_S
+    assert 2 * machines <= watched[0] <= 6 * 1.3 * MACHINE_CHECKS_PER_S
     assert looked_at[0] <= 6 * 1.3 * PROMPT_MACHINES / 0.15
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -29,7 +29,7 @@
 from crosscleat.core.state.stored_placements import DEFAULT_CHUNK_LENGTH
 from crosscleat.wire import peers
 
-from .effects import NoTerm, only, only_response
+from .effects import NoElectionExpected, only, only_response
 from .samples_394dfe6 import (
     FRAMES_394DFE6,
     LIVE_394DFE6,
@@ -135,8 +135,10 @@
     """Either version follows a leader of the other, and may take over its key."""
     leader_394dfe6 = {"member": "c1", "boot": "0123456789abcdef", "lease": 7}
     outbox = Outbox()
-    election = Election(Member("c1"), "0123456789abcdef", outbox, Random(1), lambda: NOW, NoTerm())
-    assert election._record(LeaseId(7)) == leader_394dfe6
+    election = Election(
+        Member("c1"), "0123456789abcdef", outbox, Random(1), lambda: NOW, NoElectionExpected()
+    )
+    assert election._leader_record(LeaseId(7)) == leader_394dfe6
 
     election._follow(leader_394dfe6)
     assert election.leader == "c1"
--- a/tests/test_upgrade_coordination.py
+++ b/tests/test_upgrade_coordination.py
@@ -1,4 +1,8 @@
-"""How a controller knows that all controllers have the new version."""
+"""How a controller learns that all controllers run the new version.
+
+Controllers of the previous version do not support gangs. If an upgrade counts as complete too
+early, also after restarts or unanswered calls, such a controller would have to handle a gang.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +29,7 @@
 
 
 class Store:
-    """Replies to the calls of an upgrade at once, or not at all."""
+    """A store that answers an upgrade's calls at once, or not at all if `answers` is False."""
 
     def __init__(self) -> None:
         self.keys: set[str] = set()
@@ -60,10 +64,12 @@
                     )
 
 
-def test_the_upgrade_is_complete_once_each_controller_has_put_its_key_even_after_restarts() -> None:
+def test_the_upgrade_is_complete_once_each_controller_has_written_its_key_despite_restarts() -> (
+    None
+):
     store = Store()
     first = store.controller("c0")
-    first.begin()
+    first.start()
     store.answers = False
     store.run()
     store.answers = True
@@ -71,25 +77,27 @@
     assert store.keys == {"format/c0"}
     assert not first.complete
 
-    # The controller restarts: its key is stored already.
+    # The controller restarts, and its key is already stored.
     again = store.controller("c0")
-    again.begin()
-    store.controller("c1").begin()
+    again.start()
+    store.controller("c1").start()
     store.run()
     assert not again.complete
 
-    store.controller("c2").begin()
+    store.controller("c2").start()
     store.run()
     assert again.complete
 
     late = store.controller("c1")
-    late.begin()
+    late.start()
     store.run()
     assert late.complete
 
 
 @pytest.mark.parametrize("complete", [False, True])
-def test_a_gang_is_rejected_at_once_until_all_controllers_have_changed(complete: bool) -> None:
+def test_a_gang_is_rejected_at_once_until_all_controllers_run_the_new_version(
+    complete: bool,
+) -> None:
     requests, outbox = user_requests()
     requests._all_know_gangs = lambda: complete
     requests.submit(1, job("job-g", tasks=2, shape=Shape.GANG), WallTime(0.0))
@@ -99,7 +107,8 @@
         return
     assert not any(isinstance(effect, Commit) for effect in effects)
 
-    # A repeat of an accepted job is answered; for an unknown one the user is told to retry.
+    # A repeated submission of an accepted job gets its answer; for an unknown job, the user is
+    # told to retry.
     (scan,) = [effect for effect in effects if isinstance(effect, Scan)]
     scan.continuation(ScanResult([], Version(1)))
     (read,) = [effect for effect in outbox.take() if isinstance(effect, Read)]
