--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,7 @@
-"""The controller's table of inputs."""
+"""Every type of input must have a handler, as the controller looks handlers up in a table.
+
+An input type that is added without a handler would fail with a `KeyError` at run time.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_isolated.py
+++ b/tests/test_isolated.py
@@ -1,4 +1,8 @@
-"""A leader that reaches its workers but neither store nor peers: what successors may assume."""
+"""A leader that reaches its workers, but neither the store nor the other controllers.
+
+It keeps renewing worker leases while another leader is elected. If either of them assumes too much,
+a cancelled task keeps running, or a task runs twice. Resigning too early would end running tasks.
+"""
 
 from __future__ import annotations
 
@@ -34,8 +38,8 @@
     return world
 
 
-def test_a_cancellation_elsewhere_holds_on_an_isolated_leaders_machines(busy: World) -> None:
-    # Machines cannot be deleted either: the worker leases alone must end the tasks in time.
+def test_a_cancellation_through_a_follower_ends_tasks_of_an_isolated_leader(busy: World) -> None:
+    # Machines cannot be deleted either, so only lease expiry can end the tasks in time.
     busy.cloud_down = True
     isolate(busy, leader_of(busy))
     busy.clock.advance(6.0)
@@ -69,30 +73,31 @@
 
     busy.clock.advance(LEASE_S + 4.0)
 
-    assert running(busy, "job-long") == 3, "an outage shorter than that must not end tasks"
+    assert running(busy, "job-long") == 3, "a shorter outage must not end tasks"
 
 
-def test_a_successor_waits_for_what_an_isolated_leader_may_still_renew(busy: World) -> None:
+def test_a_successor_waits_until_an_isolated_leader_can_no_longer_renew_leases(busy: World) -> None:
     busy.cloud_down = True
     old = leader_of(busy)
     isolate(busy, old)
-    # Free capacity elsewhere, so that only the proof is missing for a second start.
+    # With free capacity elsewhere, only the missing proof that the tasks ended prevents a second
+    # start.
     for zone in ("a", "b"):
         busy.cloud.add_machine("large", zone, False)
     busy.clock.advance(CANCEL_S - LEASE_S)
     assert leader_of_others(busy, old)
     assert busy.started == 3
 
-    # The world raises ran_twice if a task starts again while it is on its old machine.
+    # The world raises ran_twice if a task is started again while it still runs on its old machine.
     busy.clock.advance(60.0)
-    assert busy.started > 3, "finally the lost tasks start elsewhere"
+    assert busy.started > 3, "the lost tasks must start elsewhere in the end"
 
 
 def leader_of_others(world: World, old: str) -> bool:
     return any(p and p.controller.leader for m, p in world.processes.items() if m != old)
 
 
-def test_a_placement_is_void_once_the_job_is_cancelled_or_the_leader_replaced() -> None:
+def test_a_placement_is_written_only_if_job_and_leader_keys_are_unchanged() -> None:
     placed_job = Job(job("job-1", priority=Priority.HIGH), Version(7), Seconds(0.0))
     placed_job.place(MachineId("m-1"), AgentEpoch(1))
     record = PlacementRecords(16.0, 8, True).record_for(placed_job, placed_job.chunk_of(0))
@@ -116,9 +121,10 @@
 
 @pytest.mark.parametrize("cut", [False, True])
 def test_a_live_leader_that_its_peers_believe_dead(busy: World, cut: bool) -> None:
-    """As in incident inc-2b0c: a filter between controllers refused connections.
+    """Incident inc-2b0c: a filter between the controllers refused connections.
 
-    The followers revoked the lease of a live leader that still reached its workers.
+    The followers took the leader for dead and revoked its lease, while it still reached its
+    workers.
     """
     former, started = leader_of(busy), busy.started
     term = token_of(busy, former)
@@ -128,7 +134,7 @@
                 busy.network.cut(former, member, "reset")
             busy.report_unreachable(member, former)
     busy.clock.advance(6.0)
-    assert token_of(busy, leader_of(busy)) > term, "there is another term"
+    assert token_of(busy, leader_of(busy)) > term, "a new term must have begun"
     assert busy.started == started, "running tasks continue"
     assert running(busy, "job-long") == 3
 
--- a/tests/test_leader_without_workers.py
+++ b/tests/test_leader_without_workers.py
@@ -123,8 +123,8 @@
 
 
 def test_a_new_leader_requests_heartbeats_in_batches_with_free_machines_first() -> None:
-    live, work = recorded_job(agent_epoch=1)
-    term = Term(live, work)
+    job_records, placement_records = recorded_job(agent_epoch=1)
+    term = Term(job_records, placement_records)
     listed = [
         ListedMachine(MachineId(f"m-{n}"), f"m-{n}", TYPES[1].name, Zone("a"), True, "running", 9)
         for n in range(1000)
--- a/tests/test_new_leader.py
+++ b/tests/test_new_leader.py
@@ -1,4 +1,8 @@
-"""How a new leader treats machines that have not sent it a heartbeat yet."""
+"""How a new leader treats machines that have not sent it a heartbeat yet.
+
+A leader elected during a network partition knows such machines only from the cloud's list. It must
+not return running machines as if they had never booted, but must return those that never boot.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +26,7 @@
 
 
 def wait(term: Term, seconds: float) -> None:
-    """Some machines send heartbeats and the others do not; the cloud lists them all."""
+    """Let time pass; only the machines in `REPORTING` send heartbeats, the cloud lists all."""
     for sequence in range(int(2 * seconds)):
         term.step(0.5)
         for number in REPORTING:
@@ -30,7 +34,7 @@
         term.leader.tick(term.now)
 
 
-def returned(term: Term) -> set[str]:
+def returned_without_heartbeat(term: Term) -> set[str]:
     machines = term.leader.cluster.machines.values()
     return {
         machine.id
@@ -39,16 +43,18 @@
     }
 
 
-def test_running_machines_that_are_cut_off_from_a_new_leader_are_not_returned_as_never_up() -> None:
-    # Incident inc-bc11: a leader was elected 4 s into a cut and returned eleven machines with
-    # all their work 7 s later, as if they had never booted.
+def test_running_machines_cut_off_from_a_new_leader_are_not_returned_as_never_booted() -> None:
+    # Incident inc-bc11: a leader was elected 4 s into a network partition. 7 s later it returned
+    # eleven machines with all their work, as if they had never booted.
     term = Term()
     term.leader.machine_list.receive(listed("running"))
     wait(term, 2.0 * LEASE_S)
-    assert returned(term) == set()
+    assert returned_without_heartbeat(term) == set()
 
     wait(term, 2.0 * CANCEL_S)
-    assert returned(term) == {f"m-{number}" for number in SILENT}, "not for ever"
+    assert returned_without_heartbeat(term) == {f"m-{number}" for number in SILENT}, (
+        "they are returned after a longer silence"
+    )
 
 
 def test_machines_that_the_cloud_lists_as_starting_for_too_long_are_returned() -> None:
@@ -57,4 +63,4 @@
 
     wait(term, 1.5 * LEASE_S)
 
-    assert returned(term) == {f"m-{number}" for number in SILENT}
+    assert returned_without_heartbeat(term) == {f"m-{number}" for number in SILENT}
--- a/tests/test_outage_after_partition.py
+++ b/tests/test_outage_after_partition.py
@@ -1,7 +1,8 @@
-"""A cancellation through a follower while the store refuses the leader, then an outage for all.
+"""A follower confirms a cancellation while the store refuses the leader; then the store is down.
 
-The leader cannot learn of the cancellation, and workers go on sending it heartbeats: only the
-bound on its lease renewals ends the tasks in time. The world raises `ran_cancelled` otherwise.
+The leader cannot learn of the cancellation, and workers keep sending it heartbeats. Only the
+deadline for its lease renewals ends the tasks in time; without it, a cancelled task keeps running
+and the world raises `ran_cancelled`.
 """
 
 from __future__ import annotations
@@ -20,12 +21,16 @@
 
 
 def cancel_through_others(world: World, leader: str, ref: str) -> None:
-    """The followers, which the store serves, confirm it; the leader is not asked."""
+    """Cancel a job through the followers, which the store serves, and not through the leader."""
     world.serving = [member for member in MEMBERS if member != leader]
     world.users.cancel(ref)
 
 
 def gap(world: World, until_out_s: float, out_s: float, refs: list[str]) -> str:
+    """Have the store refuse the leader, cancel jobs through followers, then start an outage.
+
+    Returns the leader.
+    """
     leader = leader_of(world)
     world.store.refused_until[leader] = world.clock.now + 14.0
     world.clock.advance(0.2)
@@ -94,19 +99,21 @@
 
 
 @pytest.mark.parametrize("until_out_s", [0.5, 2.0])
-def test_tasks_that_nobody_cancelled_run_as_long_as_the_rule_allows(until_out_s: float) -> None:
+def test_tasks_that_are_not_cancelled_run_until_the_renewal_deadline_allows(
+    until_out_s: float,
+) -> None:
     world = at_work(estimate_s=200.0, for_s=20.0)
     world.cloud_down = True
     gap(world, until_out_s, CANCEL_S, [])
 
-    # The last contact was up to the length of a watch ago, and a heartbeat may just have been
-    # answered.
+    # The last contact may be as old as a watch is long, and a heartbeat may have been answered
+    # immediately before.
     world.clock.advance(CANCEL_S - until_out_s - 1.5 - HEARTBEAT_S * 1.25 - 2.0)
 
     assert running(world, "job-long") == 3
 
 
-def test_a_short_gap_ends_no_work() -> None:
+def test_a_short_outage_ends_no_task() -> None:
     world = at_work(estimate_s=200.0, for_s=20.0)
     gap(world, 1.0, RENEW_S - 4.0, [])
 
@@ -116,7 +123,7 @@
 
 
 def test_contact_by_a_lease_renewal_alone_extends_no_worker_lease() -> None:
-    """After an outage the leader lease is valid at once; the cancellations are still unread."""
+    """After an outage, the leader renews its lease before it has read the cancellations."""
     world = at_work(estimate_s=200.0, for_s=20.0)
     world.cloud_down = True
     leader = gap(world, 1.0, 12.0, ["job-long"])
@@ -132,9 +139,10 @@
 
 @pytest.mark.parametrize("scan", ["work/", "drop/"])
 def test_a_new_leader_misses_cancellations_confirmed_after_it_read_the_jobs(scan: str) -> None:
-    """It reads the jobs first; while it reads the other records, followers confirm cancellations.
+    """Followers confirm cancellations after the new leader has read the jobs.
 
-    Then an outage begins before its first watch gets a reply.
+    It is still reading the other records then, and an outage begins before its first watch gets a
+    reply, so it never learns of the cancellations.
     """
     world = at_work(estimate_s=200.0, for_s=20.0)
     world.cloud_down = True
--- a/tests/test_stale_heartbeats.py
+++ b/tests/test_stale_heartbeats.py
@@ -1,4 +1,9 @@
-"""Old copies of heartbeats and restarted machines: what they prove, and what not."""
+"""What delayed heartbeats and restarted machines prove about a machine and its tasks.
+
+A network can deliver a heartbeat late or twice, also after its machine was deleted, lost power or
+restarted its agent epochs. Taking such a copy for current would place work on a machine that no
+longer exists, renew a lease wrongly, or end a running task.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +20,7 @@
 
 def test_a_machine_known_only_from_an_old_heartbeat_gets_no_work() -> None:
     term = Term()
-    # The machine may have been deleted long ago: this leader has no tombstone of it.
+    # The machine may have been deleted long ago, and this leader has no tombstone for it.
     term.receive_heartbeat((1, 40), token=TOKEN - 2)
     term.leader.tick(term.now)
     commands = term.outbox.take()
@@ -62,13 +67,14 @@
     ) == before
 
 
-def test_heartbeats_delayed_by_a_cut_do_not_show_an_unresponsive_machine() -> None:
+def test_heartbeats_delayed_by_a_partition_do_not_show_an_unresponsive_machine() -> None:
     term = Term()
     for sequence in range(1, 6):
         term.receive_heartbeat((1, sequence))
         term.step(2.0)
     term.step(LEASE_S + 1.0)
-    # All arrive when the cut ends: the old ones get responses too, but nobody waits for these.
+    # All arrive when the partition ends. The old ones get responses too, but no worker waits for
+    # these.
     for heartbeat_id in ((1, 6), (1, 7), (2, 8)):
         term.receive_heartbeat(heartbeat_id)
 
@@ -77,8 +83,8 @@
 
 @pytest.mark.parametrize("agent_epoch", [1, 4])
 def test_a_machine_whose_agent_epochs_restart_is_returned(agent_epoch: int) -> None:
-    live, work = recorded_job(agent_epoch=4)
-    term = Term(live, work)
+    job_records, placement_records = recorded_job(agent_epoch=4)
+    term = Term(job_records, placement_records)
     term.receive_heartbeat((agent_epoch, 1), token=TOKEN - 1)
     assert not term.decommissioning, "the heartbeat may be an old copy"
 
@@ -88,7 +94,7 @@
 
 
 def test_a_heartbeat_from_before_a_machine_restarted_proves_no_task_ended() -> None:
-    # The machine reached epoch 3, lost power and restarted at 1; a task was placed there since.
+    # The machine reached epoch 3, lost power and restarted at 1; then a task was placed on it.
     term = Term(*recorded_job(agent_epoch=1))
 
     term.receive_heartbeat((1, 9))
--- a/tests/test_unresponsive_workers.py
+++ b/tests/test_unresponsive_workers.py
@@ -1,4 +1,8 @@
-"""Machines that send heartbeats but receive nothing, and those that fall silent."""
+"""Machines that send heartbeats but receive no responses, and machines that fall silent.
+
+Tasks placed on a machine that receives nothing never start, so it must be returned. A network
+partition or a worker that is switching controllers looks similar, and must not cost the machine.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +27,7 @@
     assert term.decommissioning
 
 
-def test_an_agent_epoch_that_ended_in_a_cut_does_not_show_an_unresponsive_machine() -> None:
+def test_an_agent_epoch_that_ended_in_a_partition_does_not_show_an_unresponsive_machine() -> None:
     term = Term()
     term.receive_heartbeat((1, 1))
     term.step(LEASE_S + 1.0)
@@ -46,7 +50,7 @@
     name = hosts(busy)[0]
     busy.network.one_way_cuts.update((member, name) for member in MEMBERS)
     busy.clock.advance(LEASE_S + 10.0)
-    assert busy.workers[name].dead, "returned, so that nothing is allocated on it any more"
+    assert busy.workers[name].dead, "it must be returned, so that nothing more is placed on it"
 
     busy.clock.advance(120.0)
     busy.users.query("job-long")
@@ -68,14 +72,14 @@
     assert set(busy.final_statuses) >= {f"job-{number}" for number in range(4)}
 
 
-def test_a_machine_that_looks_for_a_controller_is_probed_before_it_is_given_up(
+def test_a_machine_that_is_switching_controllers_is_probed_before_it_is_deleted(
     busy: World,
 ) -> None:
     leader = next(m for m, p in busy.processes.items() if p and p.controller.leader)
     name = hosts(busy)[0]
     worker = busy.workers[name]
-    # It waits for responses of two controllers in turn: longer than a silent machine is left
-    # alone, but not yet longer than its lease.
+    # The worker waits for two unreachable controllers in turn. That takes longer than a silent
+    # machine is tolerated, but not longer than its lease.
     reachable = next(m for m in MEMBERS if m != leader)
     worker.controller_index = MEMBERS.index(reachable) + 1
     for member in MEMBERS:
@@ -89,7 +93,7 @@
     assert tasks_before <= set(worker.tasks)
 
 
-def test_a_zone_that_is_cut_off_hides_no_dead_machine_elsewhere_and_is_not_returned() -> None:
+def test_a_cut_off_zone_is_not_returned_and_hides_no_dead_machine_in_another_zone() -> None:
     term = Term()
     for number in range(60):
         machine = Machine(MachineId(f"m-{number}"), TYPES[0], Zone("ab"[number % 2]), True)
@@ -103,4 +107,6 @@
         term.leader.tick(term.now)
     decommissioned = {m.id for m in term.leader.cluster.machines.values() if m.decommissioning}
 
-    assert decommissioned == {"m-0"}, "the one in zone a; all of zone b may come back"
+    assert decommissioned == {"m-0"}, (
+        "only m-0 of zone a is dead; the machines of zone b may come back"
+    )
--- a/tests/test_upgrade_coordination.py
+++ b/tests/test_upgrade_coordination.py
@@ -78,15 +78,15 @@
     assert not first.complete
 
     # The controller restarts, and its key is already stored.
-    again = store.controller("c0")
-    again.start()
+    restarted = store.controller("c0")
+    restarted.start()
     store.controller("c1").start()
     store.run()
-    assert not again.complete
+    assert not restarted.complete
 
     store.controller("c2").start()
     store.run()
-    assert again.complete
+    assert restarted.complete
 
     late = store.controller("c1")
     late.start()
