--- a/src/crosscleat/core/control/liveness.py
+++ b/src/crosscleat/core/control/liveness.py
@@ -134,7 +134,7 @@
     def _find_quiet_zones(
         self, booted: list[Machine], shortest_silence_s: float, now: Seconds
     ) -> None:
-        """Find the zones in which too many machines are quiet for individual failures.
+        """Find the zones in which too many machines are quiet to have failed independently.
 
         Zones are judged separately, so that a cut-off zone does not hide dead machines in another
         one. Machines without a heartbeat in this term count too: they may be cut off from a new
--- a/src/crosscleat/core/control/response_check.py
+++ b/src/crosscleat/core/control/response_check.py
@@ -23,13 +23,13 @@
 """Time without executing a start order after which a worker counts as unresponsive."""
 
 UNRESPONSIVE_SHARE = 0.5
-"""Share of unresponsive machines above which the leader's responses reach none of them."""
+"""Share of unresponsive machines above which the leader's responses are taken to reach none."""
 
 LOST_LEASE_WINDOW_S = 20.0
 """Window in which leases that expired although we had responded are counted together."""
 
 COMMON_CAUSE_SHARE = 0.1
-"""Share of machines above which simultaneous failures have a common cause."""
+"""Share of machines above which simultaneous failures are taken to have a common cause."""
 
 COMMON_CAUSE_MIN = 2
 """Number of simultaneous failures up to which no common cause is assumed."""
--- a/src/crosscleat/core/election/term.py
+++ b/src/crosscleat/core/election/term.py
@@ -11,7 +11,7 @@
 """Part of `cancel_s` that is reserved for message delays and timers."""
 
 CLOCK_DRIFT = 1.001
-"""Allowance for clock drift: twice the 0.05% by which two monotonic clocks may differ."""
+"""Clock drift allowed: twice the 0.05% by which two monotonic clocks may differ, plus a margin."""
 
 MAX_START_CONTACT_AGE_S = 3.0
 """Maximum age of the last contact with the store at which tasks are started or machines rented."""
