--- a/src/crosscleat/core/capacity/fleet.py
+++ b/src/crosscleat/core/capacity/fleet.py
@@ -8,7 +8,7 @@
 from ..model.cloud import MachineType
 from ..model.deployment import TeamLimits, TuningOptions, is_backfill
 from ..model.ids import MachineId, Seconds, Team, TypeName
-from ..scheduling.preemption import COUNTED_START_S
+from ..scheduling.preemption import MIN_COUNTED_RUN_S
 from ..scheduling.zone_limits import ZoneLimits
 from ..state.jobs import Job
 from ..state.machine import Machine
@@ -253,7 +253,7 @@
             and all(
                 is_backfill(allocation.spec, teams)
                 and allocation.running_since is not None
-                and now - allocation.running_since > COUNTED_START_S
+                and now - allocation.running_since > MIN_COUNTED_RUN_S
                 for allocation in machine.allocations.values()
             )
         )
--- a/src/crosscleat/core/capacity/unplaced_work.py
+++ b/src/crosscleat/core/capacity/unplaced_work.py
@@ -148,7 +148,7 @@
         if is_zone_limited(job.spec):
             max_count = min(max_count, self._work.zones.tasks_left(job.spec, zone))
         taken = free.take_up_to(job.spec, max_count)
-        self._work.zones.count_in(job.spec, zone, taken)
+        self._work.zones.add_planned(job.spec, zone, taken)
         if job.is_gang and taken > 0:
             self._work.gang_machines.setdefault(job.ref, []).append(free.machine.id)
         return taken
--- a/src/crosscleat/core/scheduling/__init__.py
+++ b/src/crosscleat/core/scheduling/__init__.py
@@ -1,11 +1,17 @@
-"""Which waiting task goes to which machine: scheduling cycles and what they are made of.
+"""Assigns waiting tasks to machines, in scheduling cycles.
 
-Owns decisions on the state of jobs and machines that the caller passes: scoring, feasibility,
-reservations, gang placement, preemption and sharding. May import: `model`, `state`, `election`.
+Owns the decisions on scoring, feasibility, reservations, gang placement, preemption and sharding,
+which it takes on the state of jobs and machines that the caller passes. May import: `model`,
+`state`, `election`.
 
-`cycle` plans one cycle. `feasibility`, with `free_capacity` and `quota`, says what may still go
-where; `reservations` empties machines; `job_selection` chooses jobs; `ranking`, with `scoring`,
-their machines; `assignment_search` the best pairs; `gang_placement` places for whole gangs.
-`preemption` chooses what to stop. `sharding` and `shard_dispatch` are the leader's side of shards,
-`shard_planning` is the owner's.
+- `cycle` plans one scheduling cycle.
+- `feasibility`, with `free_capacity`, `quota` and `zone_limits`, checks which placements are still
+  possible.
+- `reservations` reserves machines so that they empty for large tasks and gangs.
+- `job_selection` selects the jobs of a cycle, `ranking` and `scoring` rank machines for each job,
+  and `assignment_search` commits the best pairs of a job and a machine.
+- `gang_placement` finds machines for all tasks of a gang at once.
+- `preemption` selects running tasks to stop.
+- `sharding` and `shard_dispatch` are the leader's side of sharding, `shard_planning` is the shard
+  owner's side.
 """
--- a/src/crosscleat/core/scheduling/assignments.py
+++ b/src/crosscleat/core/scheduling/assignments.py
@@ -1,4 +1,4 @@
-"""What a scheduling cycle decides: assignments of tasks and reservations of machines."""
+"""The results of a scheduling cycle: assignments of tasks and reservations of machines."""
 
 from __future__ import annotations
 
@@ -11,14 +11,17 @@
 
 
 class Assignment(msgspec.Struct, frozen=True):
-    """One task of the job is to be placed on the machine."""
+    """Places one task of the job on the machine."""
 
     job: JobRef
     machine: MachineId
 
 
 class Reservation(NamedTuple):
-    """The job for whose tasks a machine is being emptied."""
+    """Reserves a machine for a job: the machine is emptied until the job's tasks fit on it.
+
+    `priority`, `submitted` and `gang` are those of the job.
+    """
 
     job: JobRef
     priority: Priority
--- a/src/crosscleat/core/scheduling/cycle.py
+++ b/src/crosscleat/core/scheduling/cycle.py
@@ -1,6 +1,6 @@
-"""One cycle of Weighted Util (paper section 3.2): which waiting task goes to which machine now.
+"""One cycle of the Weighted Util algorithm (paper section 3.2): assigns waiting tasks to machines.
 
-The same function plans all jobs or those of one shard, so that the leader can plan a shard whose
+The same code plans all jobs or the jobs of one shard, so that the leader can plan a shard whose
 owner does not answer.
 """
 
@@ -18,16 +18,16 @@
 from .free_capacity import FreeCapacity, fetch_time
 from .gang_placement import GangPlacer
 from .job_selection import JobSelection
-from .ranking import CandidateRanking, machines_per_job, open_candidates
+from .ranking import CandidateRanking, machines_per_job, select_candidates
 from .reservations import reserve_machines, reserve_on_demand
 from .scoring import MIN_COST, PairScorer, Scorer
 
 MAX_ASSIGNMENTS = 48
-"""Assignments of one cycle; the next one goes on."""
+"""Maximum number of assignments in one cycle; the next cycle continues with the other tasks."""
 
 
 class SchedulingCycle:
-    """Plans with the state of one moment. Each call starts from that state anew."""
+    """Plans from a fixed state of the cluster. Calls are independent of each other."""
 
     def __init__(self, context: CycleContext, scorer: Scorer, rng: Random) -> None:
         self._context = context
@@ -41,17 +41,17 @@
         max_assignments: int,
         reservations: dict[MachineId, Reservation] | None = None,
     ) -> list[Assignment]:
-        """At most `max_assignments` (a gang may exceed them), the best pair first.
+        """Return at most `max_assignments` assignments, the best pair of job and machine first.
 
-        `reservations` are passed where `jobs` are only some of those that wait; else the cycle
-        makes its own.
+        The last gang may exceed that number, as it is placed as a whole. Pass `reservations` if
+        `jobs` are only a part of the waiting jobs; otherwise the cycle makes its own.
         """
         waiting = [job for job in jobs if job.next_task() is not None]
         if not waiting:
             return []
         feasibility = Feasibility(self._context, machines)
         reserve_on_demand(feasibility.candidates, self._context.reserves.on_demand_cpus)
-        candidates = open_candidates(feasibility.candidates, waiting, self._context.now)
+        candidates = select_candidates(feasibility.candidates, waiting, self._context.now)
         if not candidates:
             return []
         if reservations is None:
@@ -78,23 +78,23 @@
             GangPlacer(feasibility, scorer, self._scorer.deployment),
             selection,
         )
-        set_aside = []
+        deferred = []
         for job in selected:
-            if selection.is_set_aside(job):
-                set_aside.append(job)
+            if selection.is_deferred(job):
+                deferred.append(job)
             else:
-                search.offer(job)
+                search.push_best_pair(job)
         search.commit(max_assignments)
-        # DESIGN: set-aside tasks may still take idle capacity, once all others have chosen.
-        for job in set_aside:
-            search.offer(job)
+        # DESIGN: deferred tasks may use capacity that is idle after all other jobs are placed.
+        for job in deferred:
+            search.push_best_pair(job)
         search.commit(max_assignments)
         return search.assignments
 
     def reservations(
         self, jobs: Iterable[Job], machines: Iterable[Machine]
     ) -> dict[MachineId, Reservation]:
-        """The machines that are emptied for large tasks and gangs, and for which job."""
+        """Reservations of machines for large tasks and gangs, by machine."""
         feasibility = Feasibility(self._context, machines)
         waiting = [job for job in jobs if job.next_task() is not None]
         reserve_machines(feasibility, waiting, self._scorer)
@@ -105,19 +105,22 @@
         }
 
     def complete_gang(
-        self, job: Job, machines: Iterable[Machine], left_s: float
+        self, job: Job, machines: Iterable[Machine], time_left_s: float
     ) -> list[Assignment]:
-        """Places for the tasks that a waiting gang lacks, which can start within `left_s`."""
+        """Assign the missing tasks of a waiting gang to machines.
+
+        Returns assignments for all of them, each able to start within `time_left_s`, or none.
+        """
         feasibility = Feasibility(self._context, machines)
-        candidates = open_candidates(feasibility.candidates, [job], self._context.now)
+        candidates = select_candidates(feasibility.candidates, [job], self._context.now)
         scorer = self._pair_scorer(feasibility, [job])
         ranking = CandidateRanking(candidates, len(candidates), feasibility, scorer, self._rng)
         gangs = GangPlacer(feasibility, scorer, self._scorer.deployment)
-        chosen = gangs.complete(job, ranking.candidates(job), left_s)
+        chosen = gangs.complete(job, ranking.candidates(job), time_left_s)
         return [Assignment(job.ref, candidate.machine.id) for candidate in chosen]
 
     def machines_kept_for_on_demand(self, machines: Iterable[Machine]) -> set[MachineId]:
-        """Machines whose free capacity is left to work that may not use spot machines."""
+        """On-demand machines with capacity kept for jobs that may not use spot machines."""
         feasibility = Feasibility(self._context, machines)
         reserve_on_demand(feasibility.candidates, self._context.reserves.on_demand_cpus)
         return {
@@ -127,12 +130,12 @@
         }
 
     def _pair_scorer(self, feasibility: Feasibility, jobs: Iterable[Job]) -> PairScorer:
-        """Scores relative to the highest cost of any of the jobs on any type of machine."""
+        """Create a scorer scaled by the highest cost of any of the jobs on any type of machine."""
         machines = (candidate.machine for candidate in feasibility.candidates)
-        examples = {(machine.type.name, machine.spot): machine for machine in machines}
+        representatives = {(machine.type.name, machine.spot): machine for machine in machines}
         costs = (
             self._scorer.cost(job, machine.type, machine.spot, fetch_time(job.spec, machine.type))
             for job in jobs
-            for machine in examples.values()
+            for machine in representatives.values()
         )
         return PairScorer(self._scorer, max(max(costs, default=0.0), MIN_COST))
--- a/src/crosscleat/core/scheduling/free_capacity.py
+++ b/src/crosscleat/core/scheduling/free_capacity.py
@@ -1,4 +1,4 @@
-"""The free capacity of machines, and how many tasks of a job it holds."""
+"""The free capacity of machines, and how many tasks of a job fit into it."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from .assignments import Reservation
 
 UNBOUNDED_TASKS = 1e6
-"""How many tasks fit anywhere if one of them needs nothing."""
+"""Number of tasks that fit on a machine if a task needs no resources."""
 
 
 @dataclass(slots=True)
 class FreeCapacity:
-    """What of a machine no allocation takes, less what its user has counted into it since.
+    """The capacity of a machine that is not allocated, less what the current plan has taken.
 
-    Scheduling cycles, preemption and scale-out each make their own from the machine's allocations
-    and use it up. Amounts may be below zero by rounding, or while a machine's type is unknown.
+    Scheduling cycles, preemption and scale-out each create their own instances from the machine's
+    allocations. Amounts may be below zero due to rounding, or while a machine's type is unknown.
     """
 
     machine: Machine
@@ -30,14 +30,14 @@
     gpus: float
     memory_gb: float
     fetching_s: float = 0.0
-    """Seconds until its image fetches are over; a cycle sets it for machines that it ranks."""
+    """Seconds until the machine's image fetches end; a cycle sets it for machines that it ranks."""
     reservation: Reservation | None = None
     kept_for_on_demand: bool = False
-    """Left to work that may not use spot machines."""
+    """Kept for jobs that may not use spot machines."""
 
     @classmethod
     def of(cls, machine: Machine) -> FreeCapacity:
-        """What the allocations known so far leave of the machine."""
+        """The capacity of the machine that its known allocations leave free."""
         machine_type = machine.type
         return cls(
             machine,
@@ -46,8 +46,8 @@
             machine_type.memory_gb - machine.used_memory,
         )
 
-    def amounts(self) -> FreeCapacity:
-        """The same amounts to try something with; reservations and fetches are left out."""
+    def copy_amounts(self) -> FreeCapacity:
+        """Copy the amounts for a trial plan, without reservations and fetches."""
         return FreeCapacity(self.machine, self.cpus, self.gpus, self.memory_gb)
 
     def fits(self, spec: JobSpec) -> bool:
@@ -59,19 +59,20 @@
         )
 
     def count_fitting(self, spec: JobSpec) -> int:
-        """How many more tasks of the job fit; below zero if less than nothing is left."""
+        """How many more tasks of the job fit; may be negative if an amount is."""
         return count_fitting(spec, self.cpus, self.memory_gb, self.gpus)
 
     def take(self, spec: JobSpec) -> None:
-        """Use the capacity of one task."""
+        """Take the capacity of one task of the job."""
         self.cpus -= spec.cpus
         self.gpus -= spec.gpus
         self.memory_gb -= spec.memory_gb
 
     def take_up_to(self, spec: JobSpec, max_count: int) -> int:
-        """Use the capacity of as many tasks as fit, up to `max_count`, and say of how many.
+        """Take the capacity of as many tasks as fit, up to `max_count`; return their number.
 
-        It subtracts their sum. `take` for each of them may differ from that by rounding.
+        The capacity of all these tasks is subtracted at once. Calling `take` for each task may
+        give a different result due to rounding.
         """
         count = max(0, min(max_count, self.count_fitting(spec)))
         if count > 0:
@@ -81,33 +82,33 @@
         return count
 
     def give_back(self, spec: JobSpec) -> None:
-        """The capacity of one task is free again."""
+        """Return the capacity of one task of the job."""
         self.cpus += spec.cpus
         self.gpus += spec.gpus
         self.memory_gb += spec.memory_gb
 
 
 class HasMachine(Protocol):
-    """Something that belongs to one machine, or to machines of one zone."""
+    """An item that refers to one machine, or to several machines of one zone."""
 
     @property
     def machine(self) -> Machine:
-        """The machine that tells the zone."""
+        """A machine in the zone of the item."""
 
 
-OfMachine = TypeVar("OfMachine", bound=HasMachine)
+MachineItem = TypeVar("MachineItem", bound=HasMachine)
 
 
-def by_zone(items: Iterable[OfMachine]) -> list[list[OfMachine]]:
-    """The items of each zone, in their order."""
-    zones: dict[Zone, list[OfMachine]] = {}
+def group_by_zone(items: Iterable[MachineItem]) -> list[list[MachineItem]]:
+    """Group the items by zone, with the zones and the items of each in order of appearance."""
+    zones: dict[Zone, list[MachineItem]] = {}
     for item in items:
         zones.setdefault(item.machine.zone, []).append(item)
     return list(zones.values())
 
 
 def count_fitting(spec: JobSpec, cpus: float, memory_gb: float, gpus: float) -> int:
-    """How many of the job's tasks fit in so much free capacity."""
+    """How many of the job's tasks fit in this amount of free capacity."""
     ratios = ((spec.cpus, cpus), (spec.memory_gb, memory_gb), (spec.gpus, gpus))
     smallest = min(
         (available / need for need, available in ratios if need > 0), default=UNBOUNDED_TASKS
--- a/src/crosscleat/core/scheduling/job_selection.py
+++ b/src/crosscleat/core/scheduling/job_selection.py
@@ -1,4 +1,4 @@
-"""Which waiting jobs a cycle considers, which go first, and which take only what others leave."""
+"""Selects the waiting jobs of a cycle, and which of them are placed first or last."""
 
 from __future__ import annotations
 
@@ -10,15 +10,14 @@
 from .scoring import Scorer
 
 MAX_RANKED_JOBS = 120
-"""Jobs that one cycle considers if more than twice as many wait: half of them the best by utility,
-half a sample of the others."""
+"""Number of jobs that one cycle considers if more than twice as many wait. Half of them are those
+with the highest utility, half are a random sample of the others."""
 
 MUST_START_AFTER_S = 100.0
-"""A job that has waited so long without a start goes next, whatever else waits."""
-
+"""A job that has waited this many seconds without any start goes before all other jobs."""
 
 REPEATED_FAILURE_MACHINES = 2
-"""A job that failed on so many machines and succeeded on none is tried one task at a time."""
+"""A job that failed on this many machines or more and succeeded on none gets one task at a time."""
 
 
 def fails_repeatedly(job: Job) -> bool:
@@ -27,7 +26,7 @@
 
 
 class JobSelection:
-    """Compares waiting jobs by what the next task of each would be worth."""
+    """Compares waiting jobs by the utility of the next task of each."""
 
     def __init__(self, feasibility: Feasibility, scorer: Scorer, rng: Random) -> None:
         self._feasibility = feasibility
@@ -37,13 +36,14 @@
         self._utilities: dict[JobRef, float] = {}
 
     def sample(self, waiting: list[Job]) -> list[Job]:
-        """Not each of a thousand jobs is considered in each cycle: it places few of them.
+        """Select the jobs to consider: a cycle places only few of a thousand waiting jobs.
 
-        The random half gives a chance to those that the better ones would always leave behind.
+        The random half of the sample gives a chance to jobs that would otherwise always be behind
+        jobs of higher utility.
         """
         if len(waiting) <= 2 * MAX_RANKED_JOBS:
             return waiting
-        admitted = [job for job in waiting if self._feasibility.team_admits(job)]
+        admitted = [job for job in waiting if self._feasibility.quota_admits(job)]
         if len(admitted) <= MAX_RANKED_JOBS:
             return admitted
         admitted.sort(
@@ -53,25 +53,29 @@
         return admitted[:half] + self._rng.sample(admitted[half:], MAX_RANKED_JOBS - half)
 
     def must_start_next(self, job: Job) -> bool:
-        """Whether its first task goes before all others.
+        """Whether the job's first task goes before the tasks of all other jobs.
 
-        Late work is worth little, and among ever new work that is worth more it would never start.
-        A gang goes first soon: what is freed or rented for it would be taken by others one task at
-        a time, while it must have all at once.
+        Late jobs have a low utility and would never start while new jobs of higher utility keep
+        arriving. Gangs go first after a short wait: they need all their capacity at once, and
+        single tasks of other jobs would take the machines that are freed or rented for them.
         """
         if self._feasibility.gang_goes_first(job):
             return True
         age = self._feasibility.now - job.submitted
-        return age > MUST_START_AFTER_S and not job.ever_placed and not self._feasibility.taken(job)
+        return (
+            age > MUST_START_AFTER_S
+            and not job.ever_placed
+            and not self._feasibility.assigned_count(job)
+        )
 
-    def is_set_aside(self, job: Job) -> bool:
-        """Whether it may only use what all others leave."""
+    def is_deferred(self, job: Job) -> bool:
+        """Whether the job may only use the capacity that all other jobs leave."""
         if job.backfill and not self.must_start_next(job):
             return True
         return self._best_utility(job) < self._drop_threshold
 
     def _best_utility(self, job: Job) -> float:
-        """What the next task would be worth if it started now (paper section 3.3)."""
+        """The utility of the next task if it started now (paper section 3.3)."""
         utility = self._utilities.get(job.ref)
         if utility is None:
             age = self._feasibility.now - job.submitted
--- a/src/crosscleat/core/scheduling/preemption.py
+++ b/src/crosscleat/core/scheduling/preemption.py
@@ -1,9 +1,10 @@
-"""Which running tasks are stopped so that others can be placed.
+"""Selects running tasks to stop so that waiting tasks can be placed.
 
-Work yields to work of a higher priority if its own is the lowest, or if its team has no guarantee;
-and work of a team without a guarantee yields to a team that is within its own.
-A stopping task keeps its allocation until its end is proven, so the capacity that is being freed is
-counted before more tasks are stopped, and a later cycle places what waits.
+A task may be stopped for a job of a higher priority if its own priority is the lowest or its team
+has no guarantee. A task of a team without a guarantee may also be stopped for a job of another
+team that is within its guarantee.
+A stopping task keeps its allocation until its end is proven. Capacity that is being freed is
+therefore counted before more tasks are stopped, and a later cycle places the waiting tasks.
 """
 
 from __future__ import annotations
@@ -27,20 +28,19 @@
 from .zone_limits import ZoneLimits
 
 PREEMPTION_INTERVAL_S = 0.5
-"""Seconds between two passes."""
+"""Seconds between two preemption passes."""
 
 MAX_VICTIMS = 64
-"""Tasks that one pass stops."""
+"""Maximum number of tasks that one pass stops."""
 
 MAX_MACHINES_PER_JOB = 400
-"""Machines that are considered for one job; of more, a sample."""
-
-COUNTED_START_S = 30.0
-"""A start counts for its job's user only if the task is not stopped for so long."""
+"""Maximum number of machines considered for one job; of more, a random sample is considered."""
 
+MIN_COUNTED_RUN_S = 30.0
+"""A start counts for the job's user only if the task then runs longer than this many seconds."""
 
 RunningWork = tuple[Team, Priority, Collection[MachineId]]
-"""A team and priority of which there are allocations, and the machines that have them."""
+"""A team and priority that have allocations, and the machines that hold them."""
 
 
 class Victim(NamedTuple):
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, order=True)
 class PreemptionOption:
-    """What would have to be stopped on a machine for one more task of a job."""
+    """The tasks to stop on a machine so that one more task of a job fits."""
 
     loss: float
     candidate: FreeCapacity = field(compare=False)
@@ -66,12 +66,12 @@
     machines: Iterable[Machine],
     rng: Random,
 ) -> list[Victim]:
-    """The tasks to stop, for the most urgent and oldest of the waiting jobs first.
+    """Choose the tasks to stop, for the most urgent waiting jobs first and the oldest among them.
 
     `jobs` are all jobs; `machines` are those on which tasks may be placed.
     """
     running = list(context.cluster.machines_by_team())
-    if not any(_ever_yields(team, priority, context.teams) for team, priority, _ in running):
+    if not any(_is_preemptible(team, priority, context.teams) for team, priority, _ in running):
         return []
     return _Preemption(context, jobs, machines, running, rng).choose(waiting)
 
@@ -94,30 +94,30 @@
         self._running = running
         self._rng = rng
         self._candidates: dict[MachineId, FreeCapacity] = {}
-        """What is free once all stopping tasks have ended, less what this pass counts in."""
-        self._cpus = dict(context.cluster.team_cpus)
-        self._gpus = dict(context.cluster.team_gpus)
+        """Capacity that is free once all stopping tasks have ended, less what this pass claimed."""
+        self._team_cpus = dict(context.cluster.team_cpus)
+        self._team_gpus = dict(context.cluster.team_gpus)
         self._zones = ZoneLimits(context.cluster.job_zones)
-        self._chosen: list[Victim] = []
+        self._victims: list[Victim] = []
         self._stopped: set[tuple[MachineId, AttemptKey]] = set()
-        """What this pass has chosen."""
+        """Keys of the attempts that this pass has chosen to stop."""
 
     def choose(self, waiting: Iterable[Job]) -> list[Victim]:
         """See `choose_victims`."""
-        found = [job for job in waiting if self._may_preempt(job)]
-        for job in sorted(found, key=lambda job: (-job.spec.priority, job.submitted)):
-            if len(self._chosen) >= MAX_VICTIMS:
+        eligible = [job for job in waiting if self._may_preempt(job)]
+        for job in sorted(eligible, key=lambda job: (-job.spec.priority, job.submitted)):
+            if len(self._victims) >= MAX_VICTIMS:
                 break
             self._choose_for(job)
-        return self._chosen
+        return self._victims
 
     def _may_preempt(self, job: Job) -> bool:
-        """Gangs are left out: they need all their places at one time."""
+        """Whether tasks may be stopped for the job; not for gangs: they need all places at once."""
         return job.waiting_count() > 0 and not job.is_gang and not fails_repeatedly(job)
 
-    def _yields(self, team: Team, priority: Priority, job: Job) -> bool:
-        """Whether work of that team and priority is stopped for the job."""
-        if priority < job.spec.priority and _ever_yields(team, priority, self._teams):
+    def _may_be_preempted_by(self, team: Team, priority: Priority, job: Job) -> bool:
+        """Whether tasks of that team and priority may be stopped for the job."""
+        if priority < job.spec.priority and _is_preemptible(team, priority, self._teams):
             return True
         return (
             not has_guarantee(team, self._teams)
@@ -127,13 +127,13 @@
 
     def _within_guarantee(self, job: Job) -> bool:
         limits = self._teams.get(job.spec.team)
-        used = self._cpus.get(job.spec.team, 0.0)
+        used = self._team_cpus.get(job.spec.team, 0.0)
         return limits is not None and used + job.spec.cpus <= limits.cpus
 
     def _choose_for(self, job: Job) -> None:
-        wanted = self._within_limit(job)
-        candidates = self._candidates_with_yielding_work(job)
-        wanted -= self._count_in(job, candidates, wanted)
+        wanted = self._admitted_tasks(job)
+        candidates = self._candidates_with_preemptible_work(job)
+        wanted -= self._claim_free_capacity(job, candidates, wanted)
         if wanted <= 0:
             return
         options = [
@@ -142,41 +142,41 @@
             if (option := self._option(job, candidate)) is not None
         ]
         heapq.heapify(options)
-        while options and wanted > 0 and len(self._chosen) < MAX_VICTIMS:
+        while options and wanted > 0 and len(self._victims) < MAX_VICTIMS:
             option = heapq.heappop(options)
             if not self._zones.admits(job.spec, option.candidate.machine.zone):
                 continue
             self._stop(option)
-            wanted -= self._count_in(job, [option.candidate], wanted)
-            another = self._option(job, option.candidate)
-            if another is not None:
-                heapq.heappush(options, another)
+            wanted -= self._claim_free_capacity(job, [option.candidate], wanted)
+            next_option = self._option(job, option.candidate)
+            if next_option is not None:
+                heapq.heappush(options, next_option)
 
-    def _within_limit(self, job: Job) -> int:
-        """How many waiting tasks the team's limit admits; those that this pass counted use it."""
+    def _admitted_tasks(self, job: Job) -> int:
+        """How many waiting tasks the team's limits admit, beside those this pass claimed for."""
         team = job.spec.team
         return tasks_within_limits(
             job.spec,
             job.waiting_count(),
-            self._cpus.get(team, 0.0),
-            self._gpus.get(team, 0.0),
+            self._team_cpus.get(team, 0.0),
+            self._team_gpus.get(team, 0.0),
             self._teams.get(team),
         )
 
-    def _candidates_with_yielding_work(self, job: Job) -> list[FreeCapacity]:
-        """Machines that the job may use and on which work runs that yields to it."""
-        found: dict[MachineId, None] = {}
+    def _candidates_with_preemptible_work(self, job: Job) -> list[FreeCapacity]:
+        """Machines that the job may use and that run tasks which may be stopped for it."""
+        machine_ids: dict[MachineId, None] = {}
         for team, priority, machines in self._running:
-            if self._yields(team, priority, job):
-                found.update(dict.fromkeys(machines))
-        ids = list(found)
+            if self._may_be_preempted_by(team, priority, job):
+                machine_ids.update(dict.fromkeys(machines))
+        ids = list(machine_ids)
         if len(ids) > MAX_MACHINES_PER_JOB:
             ids = self._rng.sample(ids, MAX_MACHINES_PER_JOB)
         candidates = (self._candidate(job, machine_id) for machine_id in ids)
         return [candidate for candidate in candidates if candidate is not None]
 
     def _candidate(self, job: Job, machine_id: MachineId) -> FreeCapacity | None:
-        """The machine's capacity, if the job may use the machine."""
+        """The machine's capacity, or None if the job may not use the machine."""
         machine = self._machines.get(machine_id)
         if machine is None or not machine.allows(job.spec) or machine_id in job.failed_on:
             return None
@@ -192,31 +192,33 @@
                     candidate.give_back(allocation.spec)
         return candidate
 
-    def _count_in(self, job: Job, candidates: Iterable[FreeCapacity], wanted: int) -> int:
-        """Count in, and return, the job's tasks that fit what is free or being freed."""
-        counted = 0
+    def _claim_free_capacity(
+        self, job: Job, candidates: Iterable[FreeCapacity], wanted: int
+    ) -> int:
+        """Claim capacity that is free or being freed for up to `wanted` tasks; return how many."""
+        claimed = 0
         for candidate in candidates:
             zone = candidate.machine.zone
-            admitted = min(wanted - counted, self._zones.tasks_left(job.spec, zone))
+            admitted = min(wanted - claimed, self._zones.tasks_left(job.spec, zone))
             count = max(0, min(candidate.count_fitting(job.spec), admitted))
             for _ in range(count):
                 candidate.take(job.spec)
-            self._zones.count_in(job.spec, zone, count)
-            counted += count
-            if counted >= wanted:
+            self._zones.add_planned(job.spec, zone, count)
+            claimed += count
+            if claimed >= wanted:
                 break
         team = job.spec.team
-        self._cpus[team] = self._cpus.get(team, 0.0) + counted * job.spec.cpus
-        self._gpus[team] = self._gpus.get(team, 0.0) + counted * job.spec.gpus
-        return counted
+        self._team_cpus[team] = self._team_cpus.get(team, 0.0) + claimed * job.spec.cpus
+        self._team_gpus[team] = self._team_gpus.get(team, 0.0) + claimed * job.spec.gpus
+        return claimed
 
     def _option(self, job: Job, candidate: FreeCapacity) -> PreemptionOption | None:
-        """The cheapest tasks to stop there so that one task of the job fits."""
-        freed = candidate.amounts()
+        """The tasks with the least loss to stop on the candidate for one more task of the job."""
+        freed = candidate.copy_amounts()
         victims: list[Allocation] = []
         loss = 0.0
         for allocation_loss, allocation in sorted(
-            self._stoppable(job, candidate.machine), key=lambda found: found[0]
+            self._stoppable(job, candidate.machine), key=lambda entry: entry[0]
         ):
             if freed.fits(job.spec):
                 break
@@ -230,20 +232,20 @@
     def _stoppable(self, job: Job, machine: Machine) -> Iterator[tuple[float, Allocation]]:
         for allocation in machine.allocations.values():
             if (
-                self._yields(allocation.spec.team, allocation.spec.priority, job)
+                self._may_be_preempted_by(allocation.spec.team, allocation.spec.priority, job)
                 and not allocation.stopping
                 and not _start_unconfirmed(allocation)
                 and (machine.id, allocation.key) not in self._stopped
                 and allocation.spec.shape is not Shape.GANG
-                and not self._only_counted_start(allocation)
+                and not self._would_void_start(allocation)
             ):
                 yield self._loss(allocation), allocation
 
-    def _only_counted_start(self, allocation: Allocation) -> bool:
-        """Whether for its user the job would not have started if this task were stopped now."""
+    def _would_void_start(self, allocation: Allocation) -> bool:
+        """Whether the job would count as not started for its user if this task were stopped now."""
         ran_s = 0.0 if allocation.running_since is None else self._now - allocation.running_since
         job = self._jobs.get(allocation.task.job)
-        return job is not None and ran_s <= COUNTED_START_S and job.placed_count() <= 1
+        return job is not None and ran_s <= MIN_COUNTED_RUN_S and job.placed_count() <= 1
 
     def _loss(self, allocation: Allocation) -> float:
         """CPU seconds that are lost if the task is stopped now."""
@@ -258,17 +260,18 @@
         for allocation in option.victims:
             self._stopped.add((allocation.machine, allocation.key))
             option.candidate.give_back(allocation.spec)
-            self._chosen.append(Victim(option.candidate.machine, allocation))
+            self._victims.append(Victim(option.candidate.machine, allocation))
 
 
-def _ever_yields(team: Team, priority: Priority, teams: dict[Team, TeamLimits]) -> bool:
-    """Whether work of that team and priority yields to any other."""
+def _is_preemptible(team: Team, priority: Priority, teams: dict[Team, TeamLimits]) -> bool:
+    """Whether tasks of that team and priority may be stopped for any other job."""
     return priority is Priority.LOW or not has_guarantee(team, teams)
 
 
 def _start_unconfirmed(allocation: Allocation) -> bool:
-    """Whether its start was sent and no heartbeat lists it yet.
+    """Whether the attempt's start was sent and no heartbeat has listed the attempt yet.
 
-    Only a new fencing token would prove that it does not start after all.
+    Such an attempt is not stopped: only a new fencing token would prove that it can no longer
+    start.
     """
     return allocation.start_sent and not allocation.in_last_heartbeat
--- a/src/crosscleat/core/scheduling/quota.py
+++ b/src/crosscleat/core/scheduling/quota.py
@@ -1,4 +1,4 @@
-"""What a team's limits admit."""
+"""Checks of the limits of teams."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 def within_limit(amount: float, limit: float) -> bool:
-    """Whether the amount keeps to the limit; a limit of 0 means that there is none."""
+    """Whether the amount is within the limit, up to rounding; a limit of 0 means no limit."""
     return limit <= 0 or amount <= limit + ROUNDING
 
 
 def tasks_within_limit(spec: JobSpec, max_count: int, used_cpus: float, cpu_limit: float) -> int:
     """How many of `max_count` tasks of the job keep its team within its CPU limit.
 
-    `used_cpus` is what the team uses before them. A limit of 0 means that there is none, and tasks
-    without CPUs always keep to it.
+    `used_cpus` is the usage of the team without these tasks. A limit of 0 means no limit. Tasks
+    that need no CPUs are always within the limit.
     """
     return _count_within(spec.cpus, max_count, used_cpus, cpu_limit)
 
@@ -24,9 +24,10 @@
 def tasks_within_limits(
     spec: JobSpec, max_count: int, used_cpus: float, used_gpus: float, limits: TeamLimits | None
 ) -> int:
-    """How many of `max_count` tasks of the job keep its team within its limits of CPUs and GPUs.
+    """How many of `max_count` tasks of the job keep its team within its CPU and GPU limits.
 
-    Without limits on record, which is not the same as limits of 0, nothing of the team is placed.
+    `limits` is None for a team that is not configured: none of its tasks are placed. Limits of 0,
+    in contrast, mean no limit.
     """
     if limits is None:
         return 0
--- a/src/crosscleat/core/scheduling/ranking.py
+++ b/src/crosscleat/core/scheduling/ranking.py
@@ -1,4 +1,4 @@
-"""The machines that each job of a cycle may go to, best first."""
+"""Ranks the machines on which each job of a cycle may be placed."""
 
 from __future__ import annotations
 
@@ -15,41 +15,41 @@
 from .scoring import PairScorer
 
 MAX_PAIRS = 12_000
-"""Pairs of a job and a machine that one cycle scores; beyond it machines are sampled, as the
-users want under overload."""
+"""Target number of pairs of a job and a machine that one cycle scores. With more pairs, each job is
+scored on a sample of the machines; users want sampling under overload."""
 
 MIN_SAMPLE = 24
-"""Machines that each job is scored on, however many jobs there are: also one of a sample of jobs.
-"""
+"""Minimum size of the sample of machines for each job, however many jobs wait. It is also the size
+if only a sample of the jobs is considered."""
 
-Ranked = tuple[float, FreeCapacity]
-"""A negated score and the free capacity that it stands for: plain, as a cycle makes thousands."""
+RankedCandidate = tuple[float, FreeCapacity]
+"""A negated score and the scored candidate; a plain tuple because a cycle creates thousands."""
 
 
-def open_candidates(
+def select_candidates(
     candidates: Iterable[FreeCapacity], waiting: Iterable[Job], now: Seconds
 ) -> list[FreeCapacity]:
-    """Those with the CPUs of the smallest task.
+    """Select the candidates that have enough CPUs for the smallest task; set their `fetching_s`.
 
-    Most machines are full and stay out of the cycle: they are neither scored nor sampled.
+    Most machines are full. They are left out here so that they are neither scored nor sampled.
     """
     min_cpus = min(job.spec.cpus for job in waiting) - ROUNDING
-    found = [candidate for candidate in candidates if candidate.cpus >= min_cpus]
-    for candidate in found:
+    selected = [candidate for candidate in candidates if candidate.cpus >= min_cpus]
+    for candidate in selected:
         images = candidate.machine.images.ready_at.values()
         candidate.fetching_s = max(0.0, max(images, default=now) - now)
-    return found
+    return selected
 
 
 def machines_per_job(waiting: int) -> int:
-    """On how many machines each of so many waiting jobs is scored."""
+    """The number of machines on which each job is scored if `waiting` jobs wait."""
     if waiting > 2 * MAX_RANKED_JOBS:
         return MIN_SAMPLE
     return max(MIN_SAMPLE, MAX_PAIRS // waiting)
 
 
 class CandidateRanking:
-    """Ranks free capacities for jobs, and remembers the ranking of each job."""
+    """Ranks candidates for jobs and caches the ranking of each job."""
 
     def __init__(
         self,
@@ -59,21 +59,21 @@
         scorer: PairScorer,
         rng: Random,
     ) -> None:
-        """Of more than `max_sample` candidates each job gets a random sample of that size."""
+        """Each job is ranked on a random sample if there are more than `max_sample` candidates."""
         self._candidates = candidates
         self._max_sample = max_sample
         self._feasibility = feasibility
         self._scorer = scorer
         self._rng = rng
-        self._ranked: dict[JobRef, deque[Ranked]] = {}
-        """Of each job, without those that have been used up."""
+        self._ranked: dict[JobRef, deque[RankedCandidate]] = {}
+        """Ranked candidates of each job, without those that no longer admit a task of it."""
 
-    def best(self, job: Job) -> Ranked | None:
-        """The candidate of the highest score for the job's next task.
+    def best(self, job: Job) -> RankedCandidate | None:
+        """The candidate with the highest score for the job's next task.
 
-        A job's tasks are alike and what others take only makes capacities smaller, so its
-        candidates are ranked once in a cycle, and those that cannot have it any more are dropped
-        for good.
+        The candidates of a job are ranked once in a cycle, and a candidate that no longer admits a
+        task of the job is dropped for good. This suffices because all tasks of a job are alike and
+        free capacity only decreases during a cycle.
         """
         ranked = self._ranked.get(job.ref)
         if ranked is None:
@@ -83,14 +83,14 @@
         return ranked[0] if ranked else None
 
     def candidates(self, job: Job) -> list[FreeCapacity]:
-        """All that the job may go to now, best first: ranked anew, and from a new sample."""
+        """All candidates that admit the job now, best first, from a new sample and ranking."""
         return [candidate for _, candidate in self._rank(job)]
 
-    def _rank(self, job: Job) -> deque[Ranked]:
+    def _rank(self, job: Job) -> deque[RankedCandidate]:
         age = Seconds(self._feasibility.now - job.submitted)
         scores: dict[tuple[TypeName, bool, float], float] = {}
-        found = []
-        for number, candidate in enumerate(self._sample(job)):
+        entries = []
+        for position, candidate in enumerate(self._sample(job)):
             if not self._feasibility.admits(job, candidate):
                 continue
             machine = candidate.machine
@@ -98,15 +98,18 @@
             key = (machine.type.name, machine.spot, fetch_s)
             score = scores.get(key)
             if score is None:
-                # A job at risk goes to on-demand machines, as if those cost the same.
+                # A job at risk prefers on-demand machines (see the sort below); they are scored at
+                # the spot price, so that their higher price does not count against them.
                 spot = machine.spot or job.at_risk
                 score = self._scorer.score(job, age, machine.type, spot, fetch_s)
-                # Among near equals the fuller machine: others empty and can be returned, and
-                # large capacities stay whole for large tasks.
+                # Scores are rounded so that the fuller of nearly equal machines is preferred. The
+                # others then empty and can be returned, or keep enough capacity for large tasks.
                 score = scores[key] = -round(score, 2)
-            found.append((score, job.at_risk and machine.spot, candidate.cpus, number, candidate))
-        found.sort()
-        return deque((score, candidate) for score, _, _, _, candidate in found)
+            entries.append(
+                (score, job.at_risk and machine.spot, candidate.cpus, position, candidate)
+            )
+        entries.sort()
+        return deque((score, candidate) for score, _, _, _, candidate in entries)
 
     def _sample(self, job: Job) -> list[FreeCapacity]:
         if len(self._candidates) > self._max_sample and not self._feasibility.ignores_reserves(job):
--- a/src/crosscleat/core/scheduling/reservations.py
+++ b/src/crosscleat/core/scheduling/reservations.py
@@ -1,7 +1,7 @@
-"""Machines that are emptied for tasks which otherwise never find a place.
+"""Reserves machines so that they empty for large tasks and gangs.
 
-Small tasks take whatever is freed, so a task that needs much of a machine, or a gang that needs
-several places at once, would wait for as long as small ones come.
+Small tasks take any capacity that is freed. Without reservations, a task that needs much of a
+machine, or a gang that needs several places at once, would wait as long as small tasks arrive.
 """
 
 from __future__ import annotations
@@ -16,69 +16,72 @@
 from ..state.jobs import Job
 from ..state.machine import Machine
 from .assignments import Reservation
-from .feasibility import LARGE_SHARE, Feasibility
-from .free_capacity import FreeCapacity, by_zone, count_fitting
+from .feasibility import LARGE_TASK_SHARE, Feasibility
+from .free_capacity import FreeCapacity, count_fitting, group_by_zone
 from .scoring import Scorer
 
 RESERVE_AFTER_S = 5.0
-"""A job has machines reserved when it has waited so long."""
+"""Machines are reserved for a job that has waited at least this many seconds."""
 
 RESERVED_SHARE = 0.3
-"""The share of the machines that could hold a job's tasks that is reserved at the most."""
+"""Maximum share of the machines suitable for a job that is reserved, for all jobs together."""
 
 
 @dataclass(slots=True)
 class MachineGroup:
-    """The free capacities of machines of one type, zone and price: alike to every job."""
+    """Candidates of one machine type and zone, on demand or spot; alike for every job."""
 
     machine: Machine
-    """Any of them."""
+    """Any machine of the group, as an example."""
     candidates: list[FreeCapacity] = field(default_factory=list)
     reserved: int = 0
 
 
 Unreserved = tuple[float, float, int, FreeCapacity, MachineGroup]
-"""A free capacity behind what it is ordered by, and its group."""
+"""Three sort keys (negated CPUs, negated memory, a unique number), a candidate and its group."""
 
 
 class SmallestMachine(NamedTuple):
-    """The smallest amounts that any of the machines has."""
+    """The smallest amount of each resource among the machine types."""
 
     cpus: float
     memory_gb: float
 
 
 def reserve_machines(feasibility: Feasibility, waiting: Iterable[Job], scorer: Scorer) -> None:
-    """Reserve a few machines for large tasks and gangs that have waited, the oldest job first."""
+    """Reserve machines for large tasks and gangs that have waited, for the oldest job first."""
     groups = _groups(feasibility.candidates)
     now = feasibility.now
     waited = [job for job in waiting if now - job.submitted >= RESERVE_AFTER_S]
     smallest = _smallest(groups)
-    found = [job for job in waited if job.is_gang or _may_be_large(job, smallest)]
-    for job in sorted(found, key=lambda job: job.submitted):
-        if not feasibility.team_admits(job):
+    eligible = [job for job in waited if job.is_gang or _may_be_large(job, smallest)]
+    for job in sorted(eligible, key=lambda job: job.submitted):
+        if not feasibility.quota_admits(job):
             continue
-        able = [
+        suitable = [
             group
             for group in groups
-            if _large_on(job, group.machine, scorer)
+            if _is_large_on(job, group.machine, scorer)
             and feasibility.tasks_left_in_zone(job, group.machine.zone) > 0
         ]
         if job.is_gang:
-            able = _able_to_hold_all(job, able, feasibility)
-        max_reserved = max(1, int(RESERVED_SHARE * sum(len(group.candidates) for group in able)))
-        count = max_reserved - sum(group.reserved for group in able)
-        count = min(count, _machines_needed(job, able, scorer, job.waiting_count()))
+            suitable = _groups_for_whole_gang(job, suitable, feasibility)
+        max_reserved = max(
+            1, int(RESERVED_SHARE * sum(len(group.candidates) for group in suitable))
+        )
+        count = max_reserved - sum(group.reserved for group in suitable)
+        count = min(count, _machines_needed(job, suitable, scorer, job.waiting_count()))
         if count > 0 and job.spec.spread:
-            _reserve_by_zone(job, able, count, feasibility, scorer)
+            _reserve_by_zone(job, suitable, count, feasibility, scorer)
         elif count > 0:
-            _reserve(job, able, count)
+            _reserve(job, suitable, count)
 
 
 def reserve_on_demand(candidates: Iterable[FreeCapacity], cpus: float) -> None:
-    """Keep so many CPUs of on-demand machines for work that may use no others.
+    """Keep this many CPUs of on-demand machines for jobs that may not use spot machines.
 
-    In the zone where most are free: a gang often has to be in one.
+    All of them are kept in the zone with the most free on-demand CPUs, as the tasks of a gang often
+    have to be in one zone.
     """
     if cpus <= 0.0:
         return
@@ -86,9 +89,11 @@
         candidate for candidate in candidates if not candidate.machine.spot and candidate.cpus > 0.0
     )
     best = max(
-        by_zone(on_demand), key=lambda zone: sum(candidate.cpus for candidate in zone), default=[]
+        group_by_zone(on_demand),
+        key=lambda zone: sum(candidate.cpus for candidate in zone),
+        default=[],
     )
-    # Small machines first: large ones are left to large tasks.
+    # Keep small machines first, so that large ones remain for large tasks.
     for candidate in sorted(
         best, key=lambda candidate: (candidate.machine.type.cpus, -candidate.cpus)
     ):
@@ -99,7 +104,7 @@
 
 
 def _groups(candidates: Iterable[FreeCapacity]) -> list[MachineGroup]:
-    """Machines of a group are alike to a job, which is compared with each group once."""
+    """Group alike machines, so that each job is compared with each group only once."""
     groups: dict[tuple[TypeName, Zone, bool], MachineGroup] = {}
     for candidate in candidates:
         machine = candidate.machine
@@ -120,47 +125,50 @@
 
 
 def _may_be_large(job: Job, smallest: SmallestMachine) -> bool:
-    """Whether its tasks would be large on a machine of these amounts: most jobs' are on none."""
+    """Whether the job's tasks may be large on any machine; a cheap check that most jobs fail."""
     spec = job.spec
     return (
         spec.gpus > 0.0
-        or spec.cpus >= LARGE_SHARE * smallest.cpus
-        or spec.memory_gb >= LARGE_SHARE * smallest.memory_gb
+        or spec.cpus >= LARGE_TASK_SHARE * smallest.cpus
+        or spec.memory_gb >= LARGE_TASK_SHARE * smallest.memory_gb
     )
 
 
-def _large_on(job: Job, machine: Machine, scorer: Scorer) -> bool:
-    """Whether it needs a machine that is emptied for it, or, as a gang, several places at once."""
+def _is_large_on(job: Job, machine: Machine, scorer: Scorer) -> bool:
+    """Whether the job may use such a machine and a task, or the whole gang, is large on it."""
     if not machine.type.has_capacity_for(job.spec) or not machine.allows(job.spec):
         return False
-    share = scorer.share(job.spec, machine.type)
-    return (share * job.spec.tasks if job.is_gang else share) >= LARGE_SHARE
+    share = scorer.machine_share(job.spec, machine.type)
+    return (share * job.spec.tasks if job.is_gang else share) >= LARGE_TASK_SHARE
 
 
-def _able_to_hold_all(
+def _groups_for_whole_gang(
     job: Job, groups: list[MachineGroup], feasibility: Feasibility
 ) -> list[MachineGroup]:
-    """The groups where the whole gang would fit if all were empty.
+    """The groups that could hold the whole gang if all their machines were empty.
 
-    If it must be in one zone, those of the zone with the most free CPUs; of a zone in which it may
-    have only some of its tasks, no more are counted. Nothing is reserved for a gang that fits
-    nowhere.
+    For a gang that must be in one zone, these are the groups of one zone that could hold it: the
+    zone with the most free CPUs. If a zone may hold only some of the gang's tasks, no more than
+    these are counted for the zone. The list is empty if the gang does not fit, so that nothing is
+    reserved for it.
     """
-    held = [(zone, _max_tasks_in_zone(job, zone, feasibility)) for zone in by_zone(groups)]
+    zone_tasks = [
+        (zone, _max_tasks_in_zone(job, zone, feasibility)) for zone in group_by_zone(groups)
+    ]
     if not job.spec.one_zone:
-        return groups if sum(tasks for _, tasks in held) >= job.waiting_count() else []
-    enough = [zone for zone, tasks in held if tasks >= job.waiting_count()]
-    return max(enough, key=_free_cpus, default=[])
+        return groups if sum(tasks for _, tasks in zone_tasks) >= job.waiting_count() else []
+    sufficient = [zone for zone, tasks in zone_tasks if tasks >= job.waiting_count()]
+    return max(sufficient, key=_free_cpus, default=[])
 
 
 def _max_tasks_in_zone(job: Job, groups: list[MachineGroup], feasibility: Feasibility) -> int:
-    """How many of the job's tasks these machines of one zone would hold and may have."""
+    """How many of the job's tasks these machines of one zone could hold and may be given."""
     admitted = feasibility.tasks_left_in_zone(job, groups[0].machine.zone)
     return min(_max_tasks(job, groups), admitted)
 
 
 def _max_tasks(job: Job, groups: list[MachineGroup]) -> int:
-    """How many of the job's tasks the machines would hold if they were empty."""
+    """How many of the job's tasks the machines could hold if they were empty."""
     types = ((group.machine.type, len(group.candidates)) for group in groups)
     return sum(
         count
@@ -173,40 +181,42 @@
     return sum(candidate.cpus for group in groups for candidate in group.candidates)
 
 
-def _machines_needed(job: Job, able: list[MachineGroup], scorer: Scorer, tasks: int) -> int:
-    """How many of them, emptied, so many of the job's tasks would take."""
+def _machines_needed(job: Job, suitable: list[MachineGroup], scorer: Scorer, tasks: int) -> int:
+    """How many of the suitable machines, when empty, `tasks` tasks of the job need."""
     if not job.is_gang:
         return tasks
-    share = max((scorer.share(job.spec, group.machine.type) for group in able), default=0.0)
+    share = max(
+        (scorer.machine_share(job.spec, group.machine.type) for group in suitable), default=0.0
+    )
     return math.ceil(tasks * share)
 
 
-def _reserve(job: Job, able: list[MachineGroup], count: int) -> None:
-    """Reserve the emptiest of these machines that are not reserved for another job."""
+def _reserve(job: Job, suitable: list[MachineGroup], count: int) -> None:
+    """Reserve the emptiest of the suitable machines that are not reserved yet."""
     reservation = Reservation(job.ref, job.spec.priority, job.submitted, job.is_gang)
-    for *_, candidate, group in _emptiest(able, count):
+    for *_, candidate, group in _emptiest_unreserved(suitable, count):
         candidate.reservation = reservation
         group.reserved += 1
 
 
 def _reserve_by_zone(
-    job: Job, able: list[MachineGroup], count: int, feasibility: Feasibility, scorer: Scorer
+    job: Job, suitable: list[MachineGroup], count: int, feasibility: Feasibility, scorer: Scorer
 ) -> None:
-    """The same, evenly, in zones of each of which the job may have only a share of its tasks."""
-    zones = by_zone(able)
+    """Like `_reserve`, spread evenly over the zones; each may hold only a share of the tasks."""
+    zones = group_by_zone(suitable)
     for zones_left, groups in zip(range(len(zones), 0, -1), zones, strict=True):
         admitted = feasibility.tasks_left_in_zone(job, groups[0].machine.zone)
-        needed = _machines_needed(job, able, scorer, admitted)
+        needed = _machines_needed(job, suitable, scorer, admitted)
         reserved = min(math.ceil(count / zones_left), needed)
         _reserve(job, groups, reserved)
         count -= reserved
 
 
-def _emptiest(able: list[MachineGroup], count: int) -> list[Unreserved]:
+def _emptiest_unreserved(suitable: list[MachineGroup], count: int) -> list[Unreserved]:
     free = (
-        (-candidate.cpus, -candidate.memory_gb, number, candidate, group)
-        for number, (candidate, group) in enumerate(
-            (candidate, group) for group in able for candidate in group.candidates
+        (-candidate.cpus, -candidate.memory_gb, position, candidate, group)
+        for position, (candidate, group) in enumerate(
+            (candidate, group) for group in suitable for candidate in group.candidates
         )
         if candidate.reservation is None
     )
--- a/src/crosscleat/core/scheduling/scoring.py
+++ b/src/crosscleat/core/scheduling/scoring.py
@@ -1,4 +1,4 @@
-"""Utility, cost and run-time estimates: the terms of the Weighted Util score."""
+"""Utility, cost and run-time estimates, from which the Weighted Util score is computed."""
 
 from __future__ import annotations
 
@@ -17,49 +17,51 @@
     Priority.HIGH: 4.0,
     Priority.PRODUCTION: 8.0,
 }
-"""Utility of a task that completes as soon as it is submitted."""
+"""Utility of a task that completes at the time of submission, by priority."""
 
 MAX_UTILITY = max(PEAK_UTILITY.values())
 
-LATE_START = 0.8
-"""What is left of the utility for each objective for starts that is missed."""
+LATE_START_FACTOR = 0.8
+"""Factor on the utility for each missed objective for the start time."""
 
 UTILITY_LOSS_AT_TARGET = 0.3
-"""The part of its utility that a task loses until its completion target."""
+"""Share of the peak utility that a task loses linearly until its completion target."""
 
 UTILITY_AT_TARGET = 0.7
-"""What is left of it then; it falls exponentially from there."""
+"""Share of the peak utility that remains at the completion target; it then decays exponentially."""
 
 MIN_TARGET_S = 1.0
-"""Earlier completion targets are taken for this one."""
+"""Lower bound of completion targets, in seconds."""
 
 DEFAULT_TARGET_S = 60.0
-"""Part of the completion target where users gave none; the other part is in run times."""
+"""Constant part of the completion target of a job without deadline and objective, in seconds."""
 
 DEFAULT_TARGET_RUNS = 3.0
+"""Variable part of that completion target, as a multiple of the estimated run time."""
 
 MIN_RUN_S = 0.1
-"""The shortest run time that is expected of any task."""
+"""Lower bound of run-time estimates, in seconds."""
 
 MIN_COST = 1e-9
-"""Stands for the highest cost where nothing costs anything."""
+"""Lower bound of the highest cost, against a division by zero if no machine costs anything."""
 
 PRIOR_RATIOS = 2
-"""Assumed observations of right estimates: they keep the first few real ones from swinging it."""
+"""Number of assumed observations of exact estimates. They keep the first few real observations from
+changing the factor of a class too much."""
 
 MAX_RATIOS = 64
-"""Completed runs of a class that count: the newest ones."""
+"""Number of newest completed runs of a class that are kept."""
 
 
 class RunTimes:
-    """Learns per class by how much users' estimates are off.
+    """Corrects users' run-time estimates by factors learned for each job class.
 
-    Users' estimates are wrong in one direction for whole days; charging them unchanged would let
-    the budget drain early, as DESIGN warns.
+    Users' estimates are wrong in one direction for whole days. Charging them uncorrected would
+    exhaust the budget early, as DESIGN warns.
     """
 
     def __init__(self, factors: dict[str, float] | None = None) -> None:
-        """`factors` are those that another controller has learned."""
+        """`factors` are initial factors, learned by another controller."""
         self._ratios: dict[str, deque[float]] = {}
         self.factors: dict[str, float] = dict(factors or {})
         """Actual run time as a multiple of the estimate, by class."""
@@ -74,12 +76,12 @@
         self.factors[job.job_class] = factor
 
     def estimate(self, job: JobSpec) -> float:
-        """The user's estimate in seconds, corrected by what the class has shown."""
+        """The user's estimate in seconds, corrected by the factor of the job's class."""
         return max(MIN_RUN_S, job.estimate_s * self.factors.get(job.job_class, 1.0))
 
 
 class Scorer:
-    """Utility and cost of one task of a job."""
+    """Computes the utility and the cost of one task of a job."""
 
     def __init__(self, deployment: Deployment, run_times: RunTimes) -> None:
         self.deployment = deployment
@@ -88,9 +90,10 @@
         self._start_objectives: dict[str, tuple[float, ...]] = {}
 
     def completion_target_s(self, job: JobSpec) -> float:
-        """Seconds after submission from which the job is worth less.
+        """Seconds after submission after which the job's utility decays quickly.
 
-        By its deadline, else the strictest objective of its class, else its run time.
+        This is the job's deadline, else the strictest completion objective of its class, else a
+        default based on its estimated run time.
         """
         if job.deadline_s is not None:
             return job.deadline_s
@@ -103,22 +106,23 @@
         return DEFAULT_TARGET_S + DEFAULT_TARGET_RUNS * self._run_times.estimate(job)
 
     def completion_targets_s(self, job: JobSpec) -> list[float]:
-        """Seconds after submission by which its objectives want it done, the first one first."""
+        """The job's deadline, else the completion objectives of its class, in ascending order."""
         if job.deadline_s is not None:
             return [job.deadline_s]
         return sorted(self.deployment.objective_limits("finished", job.job_class))
 
     def utility(self, job: JobSpec, start_age: float, completion_age: float) -> float:
-        """Falls with both ages: slowly until the completion target, then quickly.
+        """Utility of a task that starts and completes at these ages, in seconds after submission.
 
-        Ages are seconds after submission. The paper knows completion alone; the objectives also
-        ask for starts within a time.
+        It decreases slowly until the completion target and quickly after it, and by a factor for
+        each missed start objective. The paper's utility depends on completion only; the objectives
+        also set limits for the start.
         """
         target_s = max(MIN_TARGET_S, self.completion_target_s(job))
         peak = PEAK_UTILITY[job.priority]
         for limit in self._start_limits(job.job_class):
             if start_age > limit:
-                peak *= LATE_START
+                peak *= LATE_START_FACTOR
         if completion_age <= target_s:
             return peak * (1.0 - UTILITY_LOSS_AT_TARGET * max(0.0, completion_age) / target_s)
         return peak * UTILITY_AT_TARGET * math.exp(-(completion_age - target_s) / target_s)
@@ -134,8 +138,8 @@
         """Estimated run time of one of the job's tasks, in seconds."""
         return self._run_times.estimate(job)
 
-    def share(self, job: JobSpec, machine_type: MachineType) -> float:
-        """The part of such a machine that one task keeps others from using."""
+    def machine_share(self, job: JobSpec, machine_type: MachineType) -> float:
+        """The largest of a task's shares of CPUs, GPUs and memory: others cannot use that much."""
         return max(
             job.cpus / machine_type.cpus if machine_type.cpus else 0.0,
             job.gpus / machine_type.gpus if machine_type.gpus else 0.0,
@@ -143,23 +147,23 @@
         )
 
     def remaining_s(self, job: Job) -> float:
-        """Estimated run time of the job's next attempt, which goes on from its checkpoint."""
+        """Estimated run time of the job's next attempt, which resumes from the checkpoint."""
         return max(MIN_RUN_S, self.run_s(job.spec) - job.progress.saved_s)
 
     def cost(self, job: Job, machine_type: MachineType, spot: bool, fetch_s: float) -> float:
-        """The price of one task on such a machine, from the fetch of its image to its end."""
+        """The price of one task on such a machine, from the image fetch to the task's end."""
         rate = machine_type.price_for(spot) / 3600.0
-        return (self.remaining_s(job) + fetch_s) * rate * self.share(job.spec, machine_type)
+        return (self.remaining_s(job) + fetch_s) * rate * self.machine_share(job.spec, machine_type)
 
 
 class PairScorer:
-    """The score of a task on a machine.
+    """Scores a task on a machine.
 
     (1 - wf) * utility / max utility - wf * cost / max cost (paper section 3.2, eq. 1).
     """
 
     def __init__(self, scorer: Scorer, max_cost: float) -> None:
-        """`max_cost` is the highest cost among the pairs that are compared."""
+        """`max_cost` is the highest cost among the pairs to compare."""
         self._scorer = scorer
         self._weight = scorer.deployment.tuning.weight
         self._max_cost = max_cost
@@ -167,7 +171,7 @@
     def score(
         self, job: Job, age: Seconds, machine_type: MachineType, spot: bool, fetch_s: float
     ) -> float:
-        """Of one task that starts there after `fetch_s`; larger is better."""
+        """Score of one task that starts on such a machine after `fetch_s`; larger is better."""
         completion_age = age + fetch_s + self._scorer.remaining_s(job)
         utility = self._scorer.utility(job.spec, age + fetch_s, completion_age)
         cost = self._scorer.cost(job, machine_type, spot, fetch_s)
--- a/src/crosscleat/core/scheduling/shard_planning.py
+++ b/src/crosscleat/core/scheduling/shard_planning.py
@@ -1,7 +1,6 @@
-"""The shard owner's side of sharding: plan the jobs of a shard view and propose assignments.
+"""The shard owner's side of sharding: plans the jobs of a shard view and proposes assignments.
 
-The owner runs the same scheduling cycle as the leader, on a copy of the state that it builds from
-the view.
+The owner runs the same scheduling cycle as the leader, on state that it builds from the view.
 """
 
 from __future__ import annotations
@@ -29,7 +28,7 @@
     rng: Random,
     now: Seconds,
 ) -> ShardProposal:
-    """Plan the shard; machines of types that this controller does not know are left out."""
+    """Plan the shard on the machines of the view whose types this controller knows."""
     cluster = ClusterState()
     jobs = []
     for job_view in view.jobs:
@@ -63,7 +62,8 @@
         succeeded=True,
         failed_on=set(view.failed_on),
         at_risk=view.at_risk,
-        # The leader decides by itself which jobs may use what is kept for others.
+        # Without idle time, the job does not ignore reserves here: only the leader decides which
+        # jobs may use capacity that is kept for others.
         idle_since=now,
     )
 
--- a/src/crosscleat/core/scheduling/sharding.py
+++ b/src/crosscleat/core/scheduling/sharding.py
@@ -1,10 +1,10 @@
-"""Which jobs form a shard (DESIGN: work partitioning), and what its owner is sent.
+"""Divides waiting jobs into shards (DESIGN: work partitioning) and builds the views of shards.
 
-Jobs are divided by hash. At a full cycle the leader sends each shard owner its waiting jobs, the
-machines with free capacity and a share of what each team may still use. The owner plans them by the
-same function as the leader and proposes assignments (`shard_planning`); the leader checks each one
-against the state by then, and commits it. Jobs of shards without a proposal in time the leader
-plans itself.
+Jobs are assigned to shard owners by a hash. At a full cycle the leader sends each shard owner its
+waiting jobs, the machines with free capacity and a share of each team's remaining quota. The owner
+plans the jobs with the same code as the leader and proposes assignments (`shard_planning`). The
+leader checks each assignment against its current state and commits it. If no proposal arrives in
+time, the leader plans the jobs of the shard itself.
 """
 
 from __future__ import annotations
@@ -25,36 +25,36 @@
 from .job_selection import fails_repeatedly
 
 MAX_VIEW_JOBS = 60
-"""Jobs that one view shows; the leader plans the others."""
+"""Maximum number of jobs in a view; the leader plans the others."""
 
 MAX_VIEW_MACHINES = 1_000
-"""Machines that one view shows: of more, a sample, so that the message keeps to its bound."""
+"""Maximum number of machines in a view. Of more, a sample is sent, to bound the message size."""
 
 MAX_VIEW_FAILED_ON = 50
-"""Machines on which a job failed that a view names; the leader's own check knows all."""
+"""Maximum number of machines in a view on which a job failed; the leader checks against all."""
 
 MIN_WEIGHT_CPUS = 1e-3
-"""Tasks that need fewer CPUs weigh as much as these when a team's limit is divided."""
+"""Minimum weight of a task, in CPUs, when a team's remaining quota is divided among shards."""
 
 MIN_SHARE_GPUS = 1e-9
-"""Stands for no GPUs at all, as 0 means that there is no limit."""
+"""A share that admits no GPUs; 0 would mean no limit."""
 
 QuotaShares = dict[Team, tuple[float, float]]
-"""CPUs and GPUs that a shard may use of each team's limit, 0 for no limit. A team that is left out
+"""CPUs and GPUs of each team's quota that a shard may use; 0 means no limit. A team that is missing
 may use nothing."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShardInputs:
-    """What the shards of one full cycle have in common."""
+    """Inputs that are the same for all shards of one full cycle."""
 
     machines: list[Machine]
-    """Those on which tasks may be placed."""
+    """The machines on which tasks may be placed."""
     reservations: dict[MachineId, Reservation]
     urgent_reserve: float
-    """CPUs that work below urgent leaves free."""
+    """Free CPUs that jobs below `Priority.HIGH` leave to urgent work."""
     factors: dict[str, float]
-    """By how much estimates are off, by class."""
+    """Measured run time as a multiple of the estimate, by job class."""
     now: Seconds
 
 
@@ -66,8 +66,8 @@
 def is_shardable(job: Job) -> bool:
     """Whether a shard owner may plan the job.
 
-    The leader plans itself what is tried one task at a time, placed whole or placed after all
-    others.
+    The leader itself plans gangs, backfill and jobs that get one task at a time because they fail
+    repeatedly.
     """
     return not job.is_gang and not job.backfill and not fails_repeatedly(job)
 
@@ -75,7 +75,7 @@
 def quota_shares(
     shards: dict[Member, list[Job]], limits: dict[Team, TeamLimits], cluster: ClusterState
 ) -> dict[Member, QuotaShares]:
-    """What is left of each team's limit, divided by the CPUs that wait in each shard."""
+    """Divide each team's remaining quota among the shards, in proportion to their waiting CPUs."""
     waiting_cpus: dict[Team, float] = {}
     shard_cpus: dict[tuple[Member, Team], float] = {}
     for member, jobs in shards.items():
@@ -108,14 +108,14 @@
     cluster: ClusterState,
     rng: Random,
 ) -> ShardView:
-    """What the owner of these jobs is sent in the full cycle of this number."""
+    """Build the view that the owner of these jobs receives in the full cycle of this number."""
     machines = [machine for machine in inputs.machines if machine.used_cpus < machine.type.cpus]
     if len(machines) > MAX_VIEW_MACHINES:
         machines = rng.sample(machines, MAX_VIEW_MACHINES)
-    first = sorted(jobs, key=lambda job: (-job.spec.priority, job.submitted))[:MAX_VIEW_JOBS]
+    selected = sorted(jobs, key=lambda job: (-job.spec.priority, job.submitted))[:MAX_VIEW_JOBS]
     return ShardView(
         number,
-        tuple(_job_view(job, cluster, inputs.now) for job in first),
+        tuple(_job_view(job, cluster, inputs.now) for job in selected),
         tuple(
             _machine_view(machine, inputs.reservations.get(machine.id), inputs.now)
             for machine in machines
--- a/src/crosscleat/core/scheduling/zone_limits.py
+++ b/src/crosscleat/core/scheduling/zone_limits.py
@@ -1,7 +1,7 @@
-"""How many more of a job's tasks may be placed, zone by zone.
+"""How many more tasks of a job may be placed in each zone.
 
-Scheduling cycles, scale-out, preemption and reservations ask this one question, each of its own
-`ZoneLimits`, in which it counts what it plans on top of what is placed.
+Scheduling cycles with their reservations, scale-out and preemption each use their own `ZoneLimits`,
+in which they count planned tasks in addition to placed ones.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 
 class ZoneLimits:
-    """What the constraints of jobs to one zone, or to several, leave of each zone."""
+    """Applies the zone constraints of jobs (`one_zone`, `spread`) to placed and planned tasks."""
 
     def __init__(self, placed: Mapping[str, Mapping[Zone, int]]) -> None:
-        """`placed`: for each job how many of its tasks may be in which zone; it is not changed."""
+        """`placed` counts the tasks of each job that may be in each zone; it is not modified."""
         self._placed = placed
         self._planned: dict[str, dict[Zone, int]] = {}
-        """The same with what was counted in, for jobs of which anything was."""
+        """Placed and planned tasks by zone, for the jobs that have planned tasks."""
 
     def tasks_left(self, spec: JobSpec, zone: Zone) -> int:
-        """How many more tasks of the job may be in the zone; all, if it has no such constraint."""
+        """How many more tasks of the job may be in the zone; all if it has no zone constraint."""
         if not is_zone_limited(spec):
             return spec.tasks
         zones = self._planned.get(spec.ref) or self._placed.get(spec.ref, NO_ZONES)
@@ -33,8 +33,8 @@
         """Whether one more task of the job may be in the zone."""
         return self.tasks_left(spec, zone) > 0
 
-    def count_in(self, spec: JobSpec, zone: Zone, tasks: int = 1) -> None:
-        """Count so many more tasks of the job as placed in the zone."""
+    def add_planned(self, spec: JobSpec, zone: Zone, tasks: int = 1) -> None:
+        """Count this many more tasks of the job as planned in the zone."""
         if tasks <= 0 or not is_zone_limited(spec):
             return
         zones = self._planned.get(spec.ref)
--- a/tests/test_free_capacity.py
+++ b/tests/test_free_capacity.py
@@ -5,7 +5,7 @@
 import pytest
 
 from crosscleat.core.model.ids import MachineId, Zone
-from crosscleat.core.scheduling.free_capacity import FreeCapacity, by_zone
+from crosscleat.core.scheduling.free_capacity import FreeCapacity, group_by_zone
 from crosscleat.core.scheduling.quota import tasks_within_limit, within_limit
 from crosscleat.core.state.machine import Machine
 
@@ -39,7 +39,7 @@
 def test_a_try_on_the_same_amounts_leaves_the_original_as_it_is() -> None:
     left = free(cpus=4.0)
     left.kept_for_on_demand = True
-    trial = left.amounts()
+    trial = left.copy_amounts()
 
     trial.give_back(job("job-1", cpus=1.0, memory_gb=0.5))
 
@@ -59,7 +59,7 @@
 
 def test_zones_keep_the_order_of_their_items() -> None:
     machines = [make_machine(f"m-{n}", zone=zone) for n, zone in enumerate("abab")]
-    zones = by_zone([FreeCapacity.of(one) for one in machines])
+    zones = group_by_zone([FreeCapacity.of(one) for one in machines])
 
     assert [[free.machine.id for free in zone] for zone in zones] == [
         ["m-0", "m-2"],
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -19,7 +19,7 @@
 )
 from crosscleat.core.model.job_spec import JobSpec, Priority
 from crosscleat.core.scheduling.feasibility import CycleContext
-from crosscleat.core.scheduling.preemption import COUNTED_START_S, Victim, choose_victims
+from crosscleat.core.scheduling.preemption import MIN_COUNTED_RUN_S, Victim, choose_victims
 from crosscleat.core.state.allocations import Allocation
 from crosscleat.core.state.cluster import ClusterState
 from crosscleat.core.state.jobs import Job
@@ -134,11 +134,11 @@
 def test_the_only_task_of_a_job_is_left_until_its_start_counts() -> None:
     cluster = Cluster(1)
     machine = cluster.machines[0]
-    cluster.run("job-0", machine, ran_s=COUNTED_START_S - 1.0, tasks=1)
+    cluster.run("job-0", machine, ran_s=MIN_COUNTED_RUN_S - 1.0, tasks=1)
     assert cluster.preempt(urgent(cpus=8.0)) == []
 
     (allocation,) = machine.allocations.values()
-    allocation.running_since = Seconds(NOW - COUNTED_START_S - 1.0)
+    allocation.running_since = Seconds(NOW - MIN_COUNTED_RUN_S - 1.0)
     assert cluster.preempt(urgent(cpus=8.0)) == [Victim(machine, allocation)]
 
 
