--- a/tests/planning.py
+++ b/tests/planning.py
@@ -1,4 +1,4 @@
-"""Jobs, machines and scheduling cycles on their own, for the tests."""
+"""Test helpers that build jobs and machines and plan single scheduling cycles, without a leader."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
     jobs: list[Job],
     machines: list[Machine],
     max_assignments: int = 100,
-    reserve: float = 0.0,
+    urgent_reserve: float = 0.0,
     backfill_reserve: float = 0.0,
 ) -> list[Assignment]:
     scorer = Scorer(deployment("c0"), RunTimes())
-    reserves = CycleReserves(urgent_cpus=reserve, backfill_cpus=backfill_reserve)
+    reserves = CycleReserves(urgent_cpus=urgent_reserve, backfill_cpus=backfill_reserve)
     context = CycleContext(ClusterState(), TEAMS, NOW, reserves)
     return SchedulingCycle(context, scorer, Random(1)).plan(jobs, machines, max_assignments)
--- a/tests/test_cycle.py
+++ b/tests/test_cycle.py
@@ -1,4 +1,8 @@
-"""Scheduling cycles and what they depend on."""
+"""Scheduling cycles, and the run-time estimates, image caches and attempt states they depend on.
+
+The tests guard against cycles that exceed a capacity, quota or placement constraint, and against
+jobs that never start because other jobs take each place or because a reserve is kept from them.
+"""
 
 from __future__ import annotations
 
@@ -74,14 +78,15 @@
     ]
 
     on_demand, spot = make_machine("m-0", spot=False), make_machine("m-1")
-    assert [c.machine for c in plan_cycle([make_job("job-1", tasks=1)], [on_demand, spot])] == [
-        "m-1"
-    ]
+    assert [
+        assignment.machine
+        for assignment in plan_cycle([make_job("job-1", tasks=1)], [on_demand, spot])
+    ] == ["m-1"]
 
     ready, bare = make_machine("m-0"), make_machine("m-1")
     ready.images.ready_at[Image("big")] = Seconds(0.0)
     large = make_job("job-1", tasks=1, image=Image("big"), image_gb=20.0)
-    assert [c.machine for c in plan_cycle([large], [bare, ready])] == ["m-0"]
+    assert [assignment.machine for assignment in plan_cycle([large], [bare, ready])] == ["m-0"]
 
 
 def test_a_gang_waits_until_it_fits_whole() -> None:
@@ -90,7 +95,7 @@
     assert len(plan_cycle([gang], [make_machine("m-0", 0), make_machine("m-1", 0)])) == 4
 
 
-def test_a_job_that_fails_everywhere_is_tried_one_task_at_a_time() -> None:
+def test_a_job_that_fails_repeatedly_is_tried_one_task_at_a_time() -> None:
     failing = make_job("job-f", tasks=5, cpus=1.0)
     failing.failed_on = {MachineId("m-0"), MachineId("m-1")}
 
@@ -115,6 +120,8 @@
     machine.shown_token, machine.direct.pending_start_token, machine.heartbeat_sequence = 7, 6, 6
     assert not machine.may_still_start(allocation)
 
+    # A start may be in a response that is not delivered yet, or in a direct command that was lost
+    # or is in flight. The task could still start after its capacity was given to another one.
     machine.heartbeat_sequence = 5
     assert machine.may_still_start(allocation), "the response with the start may be in flight"
 
@@ -128,7 +135,7 @@
     assert not machine.may_still_start(allocation)
 
 
-def test_estimates_follow_what_jobs_took() -> None:
+def test_estimates_follow_measured_run_times() -> None:
     times = RunTimes()
     spec = job("job-1", estimate_s=10.0)
     assert times.estimate(spec) == 10.0
@@ -137,15 +144,19 @@
     assert 19.0 < times.estimate(spec) <= 20.0
 
 
-def test_a_machine_forgets_the_images_used_longest_ago() -> None:
+def test_a_machine_evicts_the_least_recently_used_images() -> None:
     machine = make_machine("m-0")
     for image, size in (("a", 8.0), ("b", 8.0), ("a", 8.0), ("c", 8.0)):
         machine.use_image(Image(image), size, NOW)
 
-    assert list(machine.images.ready_at) == ["a", "c"], "20 GB are enough for two"
+    assert list(machine.images.ready_at) == ["a", "c"], (
+        "the cache of 20 GB holds two images of 8 GB"
+    )
 
 
 def test_small_urgent_tasks_do_not_keep_large_ones_waiting_for_ever() -> None:
+    # Small tasks took all capacity that was freed, so the large task never fitted. The machine is
+    # reserved for the large task, after 60 s also against jobs of a higher priority.
     large = make_job("job-large", tasks=1, cpus=8.0)
     large.submitted = Seconds(NOW - 61.0)
     half_used = make_machine("m-0")
@@ -155,89 +166,102 @@
 
     large.submitted = Seconds(NOW - 10.0)
     assert len(plan_cycle([large, small], [half_used])) == 2, (
-        "urgent work does not wait for it so soon"
+        "the reservation does not hold urgent work back yet"
     )
 
     equal = make_job("job-equal", tasks=4, cpus=1.0)
     assert plan_cycle([large, equal], [half_used]) == []
 
     large.submitted = Seconds(NOW - 61.0)
-    # Once it is empty the large task gets it; a task that is not large reserves nothing.
-    assert [c.job for c in plan_cycle([large, small], [make_machine("m-0")])] == ["job-large"]
+    # The large task gets the machine once it is empty. Nothing is reserved for a task that is not
+    # large.
+    assert [assignment.job for assignment in plan_cycle([large, small], [make_machine("m-0")])] == [
+        "job-large"
+    ]
 
     half_used.used_cpus = 7.5
     medium = make_job("job-medium", tasks=1, cpus=2.0)
     medium.submitted = Seconds(NOW - 60.0)
     tiny = make_job("job-tiny", tasks=1, cpus=0.5)
-    assert [c.job for c in plan_cycle([medium, tiny], [half_used])] == ["job-tiny"]
+    assert [assignment.job for assignment in plan_cycle([medium, tiny], [half_used])] == [
+        "job-tiny"
+    ]
 
 
-def test_a_scheduling_cycle_looks_at_every_machine_unless_there_are_too_many_pairs() -> None:
+def test_a_scheduling_cycle_considers_every_machine_unless_there_are_too_many_pairs() -> None:
+    # A random sample of the machines would often miss the only one with free capacity.
     fleet = [make_machine(f"m-{n}") for n in range(400)]
     for machine in fleet[:-1]:
         machine.used_cpus = 8.0
 
-    assert [c.machine for c in plan_cycle([make_job("job-1", tasks=1)], fleet)] == ["m-399"]
+    assert [
+        assignment.machine for assignment in plan_cycle([make_job("job-1", tasks=1)], fleet)
+    ] == ["m-399"]
 
 
 @pytest.mark.parametrize(("priority", "count"), [(Priority.NORMAL, 13), (Priority.HIGH, 14)])
-def test_the_last_of_a_teams_quota_is_for_its_urgent_work(priority: Priority, count: int) -> None:
+def test_the_last_part_of_a_teams_quota_is_kept_for_its_urgent_work(
+    priority: Priority, count: int
+) -> None:
     fleet = [make_machine(f"m-{n}") for n in range(8)]
     many = make_job("job-1", tasks=40, cpus=1.0, memory_gb=0.1, priority=priority)
 
-    assert len(plan_cycle([many], fleet, reserve=1.0)) == count, "red may use 14 CPUs"
+    assert len(plan_cycle([many], fleet, urgent_reserve=1.0)) == count, "red may use 14 CPUs"
 
 
-def test_a_reserve_larger_than_the_quota_keeps_no_job_from_starting() -> None:
+def test_a_reserve_larger_than_the_quota_does_not_keep_a_job_from_starting() -> None:
     fleet = [make_machine(f"m-{n}") for n in range(8)]
     alone = make_job("job-1", tasks=1, cpus=8.0, team=Team("red"))
 
-    assert len(plan_cycle([alone], fleet, reserve=20.0)) == 1
+    assert len(plan_cycle([alone], fleet, urgent_reserve=20.0)) == 1
 
 
-def test_late_work_starts_among_ever_new_work_of_higher_value() -> None:
+def test_a_late_job_starts_while_new_jobs_of_higher_utility_arrive() -> None:
+    # Late jobs have a low utility. Without precedence for the first task they would never start.
     old = make_job("job-old", tasks=3, cpus=2.0, priority=Priority.LOW, team=Team("blue"))
     old.submitted = Seconds(NOW - 101.0)
     new = make_job("job-new", tasks=3, cpus=2.0, priority=Priority.HIGH, team=Team("blue"))
     fleet = [make_machine("m-0")]
     fleet[0].used_cpus = 4.0
-    assert [c.job for c in plan_cycle([new, old], fleet)] == ["job-old", "job-new"], (
-        "one of its tasks"
-    )
+    assert [assignment.job for assignment in plan_cycle([new, old], fleet)] == [
+        "job-old",
+        "job-new",
+    ], "only the first task of the old job goes first"
 
     old.place(MachineId("m-9"), AgentEpoch(1))
-    assert [c.job for c in plan_cycle([new, old], fleet)] == ["job-new", "job-new"], (
-        "the old job has started"
-    )
+    assert [assignment.job for assignment in plan_cycle([new, old], fleet)] == [
+        "job-new",
+        "job-new",
+    ], "the old job has started"
 
 
 @pytest.mark.parametrize(("reserve", "failed"), [(0.0, False), (20.0, False), (0.0, True)])
 def test_no_job_waits_for_long_while_a_machine_has_free_capacity_for_it(
     reserve: float, failed: bool
 ) -> None:
-    """It may use all free capacity that there is.
+    """After 60 s a job may use any free capacity.
 
-    Neither what is kept for large tasks, nor what is left to urgent work, nor a failure there
-    keeps it from any.
+    Capacity reserved for large tasks, the urgent reserve, or an earlier failure on the machine
+    would otherwise keep the job waiting beside a machine that can hold it.
     """
     large = make_job("job-large", tasks=1, cpus=8.0, priority=Priority.HIGH)
     large.submitted = Seconds(NOW - 70.0)
-    kept = make_machine("m-0")
-    kept.used_cpus = 4.0
+    machine = make_machine("m-0")
+    machine.used_cpus = 4.0
     small = make_job("job-small", tasks=3, cpus=1.0, priority=Priority.LOW)
     if failed:
-        small.failed_on = {kept.id}
+        small.failed_on = {machine.id}
     others = [large] if not failed else []
-    fleet = [kept, make_machine("m-1")] if failed else [kept]
+    fleet = [machine, make_machine("m-1")] if failed else [machine]
     fleet[-1].used_cpus = 4.0 if len(fleet) == 1 else 8.0
 
     small.submitted = Seconds(NOW - 59.0)
-    assert plan_cycle([*others, small], fleet, reserve=reserve) == []
+    assert plan_cycle([*others, small], fleet, urgent_reserve=reserve) == []
 
     small.submitted = Seconds(NOW - 61.0)
-    (assignment,) = plan_cycle([*others, small], fleet, reserve=reserve)
-    assert assignment == Assignment(small.ref, kept.id), "one of its tasks"
+    (assignment,) = plan_cycle([*others, small], fleet, urgent_reserve=reserve)
+    assert assignment == Assignment(small.ref, machine.id), "only its first task"
 
-    # It counts from when the last of its tasks left its machine.
+    # The waiting time counts from the end of the job's last attempt.
     small.idle_since = Seconds(NOW - 30.0)
-    assert plan_cycle([*others, small], fleet, reserve=reserve) == []
+    assert plan_cycle([*others, small], fleet, urgent_reserve=reserve) == []
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -1,4 +1,8 @@
-"""Preemption for more urgent work, and backfill that only uses idle capacity."""
+"""Preemption for more urgent work, and backfill that only uses idle capacity.
+
+The tests guard against two kinds of failures: waiting work that gets no capacity although tasks may
+be stopped for it, and tasks that are stopped in vain because the work cannot use their capacity.
+"""
 
 from __future__ import annotations
 
@@ -65,7 +69,8 @@
 
 
 def test_no_more_is_preempted_than_the_more_urgent_work_needs() -> None:
-    # The operators' guests held 3,000 of 5,500 CPUs for minutes while all other work waited.
+    # Seen before: the operators' guest teams held 3,000 of 5,500 CPUs for minutes while all other
+    # work waited.
     cluster = Cluster(2)
     for number, machine in enumerate(cluster.machines):
         cluster.run(f"job-{number}", machine)
@@ -76,6 +81,8 @@
 
 
 def test_capacity_that_is_being_freed_is_counted() -> None:
+    # Stopping tasks keep their allocations. If their capacity were not counted, each pass would
+    # stop more tasks for the same job.
     cluster = Cluster(1)
     first, _ = cluster.run("job-0", cluster.machines[0])
     first.stopping = True
@@ -114,9 +121,9 @@
     machine = cluster.machines[0]
     cluster.run("job-0", machine, ran_s=50.0, tasks=1)
 
-    (saves,) = cluster.run("job-1", machine, ran_s=90.0, tasks=1, checkpoint_s=20.0, save_s=2.0)
+    (saving,) = cluster.run("job-1", machine, ran_s=90.0, tasks=1, checkpoint_s=20.0, save_s=2.0)
 
-    assert cluster.preempt(urgent()) == [Victim(machine, saves)]
+    assert cluster.preempt(urgent()) == [Victim(machine, saving)]
 
 
 def test_nothing_is_preempted_for_work_that_could_not_use_the_capacity() -> None:
@@ -124,14 +131,16 @@
     cluster.run("job-0", cluster.machines[0])
     failing = urgent()
     failing.failed_on = {MachineId("m-8"), MachineId("m-9")}
-    assert cluster.preempt(failing) == [], "it fails wherever it is tried"
+    assert cluster.preempt(failing) == [], "it fails on each machine"
     assert cluster.preempt(urgent(spot=False)) == [], "the cloud may reclaim the machine"
 
     cluster.cluster.team_cpus[Team("blue")] = TEAMS[Team("blue")].cpus_max
     assert cluster.preempt(urgent()) == [], "its team is at its quota"
 
 
-def test_the_only_task_of_a_job_is_left_until_its_start_counts() -> None:
+def test_the_only_task_of_a_job_is_not_preempted_before_its_start_counts() -> None:
+    # Otherwise the job would count as not started for its user: a start counts only if the task
+    # then runs longer than MIN_COUNTED_RUN_S.
     cluster = Cluster(1)
     machine = cluster.machines[0]
     cluster.run("job-0", machine, ran_s=MIN_COUNTED_RUN_S - 1.0, tasks=1)
@@ -143,7 +152,8 @@
 
 
 def test_a_task_whose_start_is_in_flight_is_not_preempted() -> None:
-    # Only a higher fencing token, which all machines would have to see, proves that it has ended.
+    # No heartbeat lists the first task yet. Only a higher fencing token, which all machines would
+    # have to see, would prove that its start can no longer be executed.
     cluster = Cluster(1)
     machine = cluster.machines[0]
     first, second = cluster.run("job-0", machine)
@@ -152,7 +162,9 @@
     assert cluster.preempt(urgent(tasks=2)) == [Victim(machine, second)]
 
 
-def test_a_task_that_ended_meanwhile_takes_no_capacity() -> None:
+def test_a_task_that_ended_is_not_listed_as_running_work() -> None:
+    # Preemption would consider such machines in vain. Removing an allocation that was never added
+    # must not add an entry either.
     cluster = Cluster(1)
     machine = cluster.machines[0]
     for allocation in cluster.run("job-0", machine):
@@ -185,62 +197,63 @@
     assert not is_backfill(spec(team=Team("red"), priority=Priority.LOW), teams)
 
 
-def test_backfill_takes_what_all_others_leave() -> None:
+def test_backfill_is_placed_after_all_other_jobs() -> None:
     backfill = make_job("job-b", team=Team("blue"), tasks=4, priority=Priority.LOW)
     backfill.backfill = True
-    # Long overdue, so that its value is lower than that of new backfill.
+    # This job is long overdue, so that its utility is lower than that of new backfill.
     late = make_job("job-l", team=Team("red"), tasks=4)
     late.submitted = Seconds(NOW - 99.0)
     late.first_untried = 1
-    chosen = [choice.job for choice in plan_cycle([backfill, late], [make_machine("m-0")])]
+    chosen = [assignment.job for assignment in plan_cycle([backfill, late], [make_machine("m-0")])]
     assert chosen == ["job-l", "job-l", "job-l", "job-b"]
 
     backfill.submitted = Seconds(NOW - 101.0)
-    chosen = [choice.job for choice in plan_cycle([backfill, late], [make_machine("m-0")])]
+    chosen = [assignment.job for assignment in plan_cycle([backfill, late], [make_machine("m-0")])]
     assert chosen[0] == "job-b", "it has waited for so long that it starts next"
 
 
 def test_backfill_that_has_started_rents_no_expensive_machine() -> None:
-    made = make_fleet()
-    refuse_spot(made)
+    fleet = make_fleet()
+    refuse_spot(fleet)
     backfill = job_waiting_for(120.0, tasks=5)
     backfill.backfill = True
-    assert next_request(made, [backfill], full_machines(10)) is not None, "all of its tasks start"
+    assert next_request(fleet, [backfill], full_machines(10)) is not None, "all of its tasks start"
 
     backfill.place(MachineId("m-0"), AgentEpoch(1))
-    assert next_request(made, [backfill], full_machines(10)) is None
+    assert next_request(fleet, [backfill], full_machines(10)) is None
 
 
 def test_no_warm_capacity_is_kept_for_backfill() -> None:
     kept = {}
     for backfills in (False, True):
-        made = make_fleet()
+        fleet = make_fleet()
         running = job_waiting_for(30.0, tasks=10)
         running.backfill = backfills
         for second in range(60):
             use = CapacityUse({"blue": 8.0}, backfill=8.0 if backfills else 0.0)
-            made.next_scale_out([running], full_machines(10), TEAMS, use, Seconds(NOW + second))
-        kept[backfills] = made.targets.demand.mean()
+            fleet.next_scale_out([running], full_machines(10), TEAMS, use, Seconds(NOW + second))
+        kept[backfills] = fleet.targets.demand.mean()
 
     assert kept[True] == 0.0 < kept[False]
 
 
 def test_an_expensive_machine_used_by_backfill_alone_is_returned() -> None:
-    # Half empty on-demand machines once stayed after the urgent work on them had ended.
+    # Seen before: half-empty on-demand machines were not returned after the urgent work on them
+    # had ended.
     teams = {**TEAMS, GUEST.name: GUEST}
-    made = make_fleet()
+    fleet = make_fleet()
     cluster = Cluster(1)
     spot, expensive = cluster.machines[0], make_machine("m-1", spot=False)
     for machine in (spot, expensive):
         machine.has_sent_heartbeat = True
         cluster.run(f"job-{machine.id}", machine, team=GUEST.name)
-    assert made.scale_in_candidates([spot, expensive], teams, NOW) == [expensive]
+    assert fleet.scale_in_candidates([spot, expensive], teams, NOW) == [expensive]
 
     cluster.run("job-x", expensive, team=Team("blue"))
-    assert made.scale_in_candidates([spot, expensive], teams, NOW) == []
+    assert fleet.scale_in_candidates([spot, expensive], teams, NOW) == []
 
 
-def test_backfill_leaves_the_reserve_to_others() -> None:
+def test_backfill_leaves_the_backfill_reserve_free() -> None:
     backfill = make_job("job-b", team=Team("blue"), tasks=4, cpus=2.0, priority=Priority.LOW)
     backfill.backfill = True
 
@@ -257,7 +270,8 @@
 
 
 def test_only_a_zones_share_of_a_spread_array_is_preempted_for_there() -> None:
-    # Four tasks, two of them in a zone at most: all were made room for in the first zone.
+    # Four tasks, at most two of them in a zone. Tasks were stopped for all four in the first zone,
+    # where two of the waiting tasks could not be placed.
     cluster = two_zones()
     victims = cluster.preempt(urgent(tasks=4, spread=True))
 
@@ -265,6 +279,8 @@
 
 
 def test_capacity_that_is_freed_in_a_full_zone_does_not_count_for_a_spread_array() -> None:
+    # The first zone is full of stopping tasks and could hold the whole array, but may hold only its
+    # share. The other task would wait if all were counted there.
     cluster = two_zones()
     waiting = urgent(tasks=2, spread=True)
     for machine in cluster.machines[:2]:
@@ -276,7 +292,7 @@
 
 
 def test_a_one_zone_array_preempts_in_one_zone_only() -> None:
-    # What was stopped in a second zone was stopped for nothing.
+    # Tasks were also stopped in a second zone, where no task of the array could be placed.
     cluster = two_zones()
     victims = cluster.preempt(urgent(tasks=6, one_zone=True))
 
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -1,4 +1,8 @@
-"""Machines that are reserved for jobs whose tasks must be in one zone or in several."""
+"""Machines that are reserved for jobs whose tasks must be in one zone or in several.
+
+The tests guard against reservations in zones that the job may not use (any more): such machines
+stand idle, and the job waits on.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +29,7 @@
 
 
 def reserved_zones(cluster: ClusterState, jobs: list[Job], machines: list[Machine]) -> list[str]:
-    """The zones of the machines that are reserved."""
+    """Plan reservations and return the zone of each reserved machine."""
     cycle = SchedulingCycle(
         CycleContext(cluster, TEAMS, NOW), Scorer(deployment("c0"), RunTimes()), Random(1)
     )
@@ -42,13 +46,16 @@
 
 
 def test_nothing_is_reserved_for_a_spread_gang_that_one_zone_would_have_to_hold() -> None:
-    # Its other tasks have no machine to wait for: what was reserved stood idle for nothing.
+    # All machines are in one zone, which may hold only one of the two tasks. The gang can never
+    # start, and the machine that was reserved for it stood idle.
     gang = waiting_job("job-g", tasks=2, cpus=8.0, spread=True, shape=Shape.GANG)
 
     assert reserved_zones(ClusterState(), [gang], busy_machines("aaaaaaaa")) == []
 
 
 def test_machines_of_several_zones_are_reserved_for_a_spread_gang() -> None:
+    # The emptiest machines are all in zone a. Reserving only these would leave the gang without a
+    # machine in zone b.
     gang = waiting_job("job-g", tasks=2, cpus=8.0, spread=True, shape=Shape.GANG)
     machines = busy_machines("aaaaaabb")
     for machine in machines[6:]:
@@ -58,6 +65,7 @@
 
 
 def test_machines_are_reserved_for_a_one_zone_array_where_its_tasks_are() -> None:
+    # Zone a has more machines, but a task of the array is in zone b already.
     array = waiting_job("job-1", tasks=4, cpus=8.0, one_zone=True)
     machines = busy_machines("aaaaab")
     machines[5].used_cpus = 6.0
@@ -70,6 +78,7 @@
 
 
 def test_no_more_is_reserved_for_a_spread_array_than_a_zones_share() -> None:
+    # A zone may hold one of the two tasks. A second reserved machine there would stand idle.
     array = waiting_job("job-1", tasks=2, cpus=8.0, spread=True)
 
     assert reserved_zones(ClusterState(), [array], busy_machines("a" * 10)) == ["a"]
--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -1,4 +1,8 @@
-"""Sharding: shard owners plan their shards, the leader checks and commits."""
+"""Sharding: shard owners plan their shards, the leader checks their proposals and commits them.
+
+The tests guard against shards that together exceed a quota or ignore reservations, jobs that wait
+for an owner that does not answer, and outdated, repeated or invalid proposals that take effect.
+"""
 
 from __future__ import annotations
 
@@ -43,14 +47,14 @@
 OWNERS = tuple(Member(member) for member in MEMBERS)
 
 
-def live(ref: str, tasks: int = 1) -> Item:
+def live_item(ref: str, tasks: int = 1) -> Item:
     spec = job(ref, tasks=tasks, cpus=1.0, memory_gb=1.0, team=Team("blue"))
     return Item(live_key(spec.ref), live_record(spec, WallTime(0.0), cancelled=False), Version(3))
 
 
 def refs_of(member: str, count: int) -> list[str]:
-    found = (f"job-{n}" for n in range(1000))
-    return [ref for ref in found if shard_owner(JobRef(ref), OWNERS) == member][:count]
+    refs = (f"job-{n}" for n in range(1000))
+    return [ref for ref in refs if shard_owner(JobRef(ref), OWNERS) == member][:count]
 
 
 @given(
@@ -99,7 +103,7 @@
 
 
 def test_without_a_proposal_in_time_the_leader_plans_the_shard_itself() -> None:
-    term = Term([live(ref) for ref in refs_of("c1", 2)])
+    term = Term([live_item(ref) for ref in refs_of("c1", 2)])
     leader = term.leader
     term.receive_heartbeat((1, 1))
     leader.tick(term.now)
@@ -107,14 +111,14 @@
     assert request.member == "c1"
     assert len(request.view.jobs) == 2
 
-    # It has not proposed before, so nobody waits for it.
+    # The owner has not proposed before, so the leader plans its jobs at once.
     leader.finish_step(term.now)
-    assert [one.placed_count() for one in leader.jobs.values()] == [1, 1]
+    assert [waiting_job.placed_count() for waiting_job in leader.jobs.values()] == [1, 1]
 
-    # Once it has been in time it is waited for, though not for long.
+    # After a proposal in time, the leader waits for the owner's next one, until a timeout.
     leader.scheduler.commit_proposal(Member("c1"), ShardProposal(request.view.number, ()), term.now)
     new, late = refs_of("c1", 4)[2:]
-    leader.apply_job_changes([live(new)], term.now)
+    leader.apply_job_changes([live_item(new)], term.now)
     term.step(5.1)
     term.receive_heartbeat((1, 2))
     leader.tick(term.now)
@@ -122,19 +126,21 @@
     assert leader.jobs[JobRef(new)].placed_count() == 0
 
     term.step(0.5)
-    leader.apply_job_changes([live(late)], term.now)
+    leader.apply_job_changes([live_item(late)], term.now)
     leader.finish_step(term.now)
     assert leader.jobs[JobRef(new)].placed_count() == 1
     assert leader.jobs[JobRef(late)].placed_count() == 1
 
 
-def test_a_shard_proposal_counts_as_far_as_it_is_still_valid() -> None:
+def test_only_valid_assignments_of_a_current_shard_proposal_are_committed() -> None:
     mine, others = refs_of("c1", 2), refs_of("c2", 1)
-    term = Term([live(ref) for ref in (*mine, *others)])
+    term = Term([live_item(ref) for ref in (*mine, *others)])
     leader = term.leader
     term.receive_heartbeat((1, 1))
     leader.tick(term.now)
-    number = next(e for e in term.outbox.take() if isinstance(e, ShardRequest)).view.number
+    number = next(
+        effect for effect in term.outbox.take() if isinstance(effect, ShardRequest)
+    ).view.number
     here = MachineId("m-0")
     outdated = ShardProposal(number - 1, ((JobRef(mine[0]), here),))
     leader.scheduler.commit_proposal(Member("c1"), outdated, term.now)
@@ -144,7 +150,9 @@
                (JobRef(mine[1]), MachineId("m-gone")))  # fmt: skip
     leader.scheduler.commit_proposal(Member("c1"), ShardProposal(number, assignments), term.now)
     placed = {ref: leader.jobs[JobRef(ref)].placed_count() for ref in (*mine, *others)}
-    assert placed == {mine[0]: 1, mine[1]: 0, others[0]: 0}, "others' jobs are not its to place"
+    assert placed == {mine[0]: 1, mine[1]: 0, others[0]: 0}, (
+        "the member may not place jobs of other shards"
+    )
 
     leader.scheduler.commit_proposal(Member("c1"), ShardProposal(number, assignments), term.now)
     assert leader.jobs[JobRef(mine[0])].placed_count() == 1, "a repeat has no effect"
@@ -156,8 +164,8 @@
     small = Job(job("job-1", tasks=1, cpus=1.0), Version(1), NOW)
     shares = {Team("red"): (10.0, 0.0)}
     large = Reservation(JobRef("job-large"), Priority.NORMAL, Seconds(NOW - 20.0))
-    for kept, count in (({}, 1), ({machine.id: large}, 0)):
-        inputs = ShardInputs([machine], kept, 0.0, {}, NOW)
+    for reservations, count in (({}, 1), ({machine.id: large}, 0)):
+        inputs = ShardInputs([machine], reservations, 0.0, {}, NOW)
         view = build_shard_view(1, [small], shares, inputs, ClusterState(), Random(1))
         types = {t.name: t for t in TYPES}
         assert len(plan_shard(view, deployment("c1"), types, Random(1), NOW).assignments) == count
--- a/tests/test_zone_limits.py
+++ b/tests/test_zone_limits.py
@@ -1,8 +1,9 @@
 """Scaling out for jobs whose tasks must be in one zone or in several.
 
-Seen on a drawn day: a gang whose tasks must be in different zones waited for good beside a free
-machine (`test_zone_bound_days.py`). Every step from waiting work to a rental has to know in which
-zones the job may still have tasks, or the job waits in another place. Each test is a case of it.
+Seen on a randomly drawn day: a gang whose tasks must be in different zones waited forever beside a
+free machine (`test_zone_bound_days.py`). Each step from waiting work to a rental must respect the
+zones in which the job may still have tasks; otherwise the job waits because of that step. Each test
+covers one case.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 def tasks_held(requests: list[Rent], cpus: float) -> dict[str, int]:
-    """How many tasks of that size the requested machines hold, by zone."""
+    """How many tasks with this many CPUs the requested machines hold, by zone."""
     sizes = {"small": 4.0, "large": 8.0}
     held: dict[str, int] = {}
     for request in requests:
@@ -54,7 +55,9 @@
     held = tasks_held(scale_out.adjust(), 2.0)
 
     assert list(held) == ["b"]
-    assert lacking <= held["b"] <= lacking + 3, "no more than the last machine leaves free"
+    assert lacking <= held["b"] <= lacking + 3, (
+        "the excess is at most the free capacity of the last machine"
+    )
 
 
 def test_running_tasks_of_a_spread_array_take_their_zones_share() -> None:
@@ -115,10 +118,10 @@
     scale_out = ScaleOut()
     machine = scale_out.add_machine("m-0", zone="b", type_index=0)
     scale_out.add_machine("m-1")
-    bound = scale_out.add_job(
+    one_zone_job = scale_out.add_job(
         "job-1", team=BLUE, tasks=2, cpus=4.0, one_zone=True, shape=shape, waited_s=200.0
     )
-    scale_out.place(bound, machine)
+    scale_out.place(one_zone_job, machine)
 
     assert [request.zone for request in scale_out.adjust()] == ["b"]
 
@@ -128,8 +131,8 @@
     machine = scale_out.add_machine("m-0", zone="b", type_index=0)
     for number in range(2):
         scale_out.add_machine(f"m-idle{number}")
-    bound = scale_out.add_job("job-1", team=BLUE, tasks=2, cpus=4.0, one_zone=True)
-    scale_out.place(bound, machine)
+    one_zone_job = scale_out.add_job("job-1", team=BLUE, tasks=2, cpus=4.0, one_zone=True)
+    scale_out.place(one_zone_job, machine)
 
     requests = scale_out.serve(30, refused=("b",))
 
@@ -165,7 +168,7 @@
     assert constraint.get("spot", True) or not request.spot
 
 
-# What the cycle may not use
+# Work that a scheduling cycle would not place
 
 
 def test_nothing_is_rented_for_tasks_beyond_the_teams_gpus() -> None:
@@ -184,27 +187,28 @@
 
 
 def test_nothing_is_rented_for_a_team_that_the_settings_do_not_name() -> None:
-    # A cycle places nothing of it; the settings may have changed since its jobs were accepted.
+    # The settings may have changed since the job was accepted. A cycle places no task of a team
+    # that is not configured, so that a rented machine would stay empty.
     scale_out = ScaleOut()
     scale_out.add_job("job-1", team=Team("gone"), tasks=3)
 
     assert scale_out.adjust() == []
 
 
-# Nothing overdone
+# Excess rentals, and rented machines that are returned or kept wrongly
 
 MINUTES = 10
 
 
 def add_surplus_capacity(scale_out: ScaleOut) -> None:
-    """Small machines with some work on them: more capacity than all demand, none of it idle."""
+    """Add small machines with one task each: more capacity than demand, and no idle machine."""
     for number in range(12):
         machine = scale_out.add_machine(f"m-small{number}", type_index=0)
         small = scale_out.add_job(f"job-small{number}", tasks=1, cpus=1.0)
         scale_out.place(small, machine)
 
 
-def test_a_spread_gang_without_a_second_zone_does_not_rent_without_end() -> None:
+def test_a_spread_gang_without_a_second_zone_does_not_rent_endlessly() -> None:
     scale_out = ScaleOut()
     add_surplus_capacity(scale_out)
     scale_out.add_job("job-1", **spread(tasks=2, cpus=LARGE_TASK))
@@ -233,8 +237,8 @@
 def test_a_spread_gang_in_a_region_of_one_zone_rents_nothing() -> None:
     scale_out = ScaleOut()
     types = scale_out.leader.fleet.types
-    for name, found in list(types.items()):
-        types[name] = replace(found, zones=(Zone("a"),))
+    for name, machine_type in list(types.items()):
+        types[name] = replace(machine_type, zones=(Zone("a"),))
     scale_out.add_job("job-1", **spread(tasks=2, cpus=LARGE_TASK))
 
     requests = scale_out.adjust()
@@ -243,7 +247,7 @@
 
 
 def test_a_gang_that_must_be_in_one_zone_and_in_several_rents_nothing() -> None:
-    # It is accepted, as before, and can never start.
+    # Such a job is still accepted, but can never start.
     scale_out = ScaleOut()
     add_surplus_capacity(scale_out)
     scale_out.add_job("job-1", **spread(tasks=2, cpus=LARGE_TASK, one_zone=True))
@@ -258,20 +262,20 @@
     add_surplus_capacity(scale_out)
     scale_out.add_job("job-1", **spread(tasks=2, cpus=LARGE_TASK), waited_s=100.0)
     (first,) = scale_out.adjust()
-    (held,) = scale_out.grant(first)
+    (waiting_machine,) = scale_out.grant(first)
     (second,) = scale_out.adjust()
-    (boots,) = scale_out.grant(second, boots=False)
+    (booting,) = scale_out.grant(second, boots=False)
 
     for _ in range(90):
         scale_out.adjust(1.0)
-        boots.created_at = scale_out.now
+        booting.created_at = scale_out.now
 
     assert {first.zone, second.zone} == {"a", "b"}
-    assert not held.decommissioning
+    assert not waiting_machine.decommissioning
 
 
 def test_a_machine_is_not_kept_for_a_gang_that_can_have_no_other_zone() -> None:
-    # Kept for good, it would be paid for without a start.
+    # The gang can never start: a machine kept for it would be paid for in vain.
     scale_out = ScaleOut()
     add_surplus_capacity(scale_out)
     scale_out.add_job("job-1", **spread(tasks=2, cpus=LARGE_TASK))
