--- a/src/crosscleat/core/control/assembly.py
+++ b/src/crosscleat/core/control/assembly.py
@@ -1,8 +1,8 @@
-"""The one place where a leader is put together.
+"""Builds a leader from its parts.
 
-Each part gets what it needs when it is built, and nothing is set afterwards: a part is built after
-those that it calls. Where two parts need each other, one of them leaves a mark in `PendingWork`, or
-gets the other, as a narrow protocol, with the call.
+Each part receives its dependencies through its constructor, and no attribute is set afterwards, so
+a part is built after the parts that it calls. Where two parts depend on each other, one of them
+sets a flag in `PendingWork`, or receives the other as a narrow `Protocol` argument of the call.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 from .job_changes import JobChanges
 from .leader import Leader
 from .liveness import Liveness
-from .orders import Orders
+from .orders import OrderBuilder
 from .pending_work import PendingWork
 from .placer import Placer
 from .progress import Progress
@@ -53,18 +53,18 @@
 from .writer import Writer
 
 
-class _State:
-    """What the parts of a leader share: the term, what is known, and what is still to be done."""
+class _SharedState:
+    """The objects that several parts of a leader share."""
 
     def __init__(
-        self, term: LeadingTerm, types: dict[TypeName, MachineType], cut_chunks: bool
+        self, term: LeadingTerm, types: dict[TypeName, MachineType], allow_short_chunks: bool
     ) -> None:
         deployment = term.deployment
         self.term = term
         self.jobs: dict[JobRef, Job] = {}
         self.cluster = ClusterState()
         self.placement_records = PlacementRecords(
-            deployment.value_kb, deployment.txn_ops, cut_chunks
+            deployment.value_kb, deployment.txn_ops, allow_short_chunks
         )
         self.decommission_records = DecommissionRecords(deployment.value_kb)
         self.run_times = RunTimes()
@@ -115,24 +115,26 @@
     rng: Random,
     types: dict[TypeName, MachineType],
     now: Seconds,
-    wall: WallTime,
-    cut_chunks: bool = True,
+    wall_time: WallTime,
+    allow_short_chunks: bool = True,
 ) -> Leader:
-    """A leader whose term begins now, with nothing known of jobs and machines.
+    """Build a leader whose term begins now, with no jobs and no machines.
 
-    `types` is shared with the controller, which updates it; `cut_chunks`: whether chunks may be
-    cut to fit a value of the store, as no controller of an older version reads them.
+    `types` is shared with the controller, which updates it. `wall_time` is the present
+    wall-clock time. `allow_short_chunks` permits chunks of fewer tasks, to stay within the
+    store's limit for a value; it must be False while a controller of an older version, which can't
+    read those, may take over.
     """
-    state = _State(LeadingTerm(deployment, election, outbox, now), types, cut_chunks)
+    state = _SharedState(LeadingTerm(deployment, election, outbox, now), types, allow_short_chunks)
     machines = _machine_parts(state)
     planning = _planning_parts(state, machines, rng)
     workers = _worker_parts(state, machines, planning.evacuation)
-    jobs = _job_parts(state, machines.attempts, wall)
-    return _joined(state, machines, planning, workers, jobs)
+    jobs = _job_parts(state, machines.attempts, wall_time)
+    return _assemble(state, machines, planning, workers, jobs)
 
 
-def _joined(
-    state: _State,
+def _assemble(
+    state: _SharedState,
     machines: _MachineParts,
     planning: _PlanningParts,
     workers: _WorkerParts,
@@ -170,7 +172,7 @@
     )
 
 
-def _machine_parts(state: _State) -> _MachineParts:
+def _machine_parts(state: _SharedState) -> _MachineParts:
     term = state.term
     attempts = Attempts(
         term,
@@ -211,7 +213,7 @@
     )
 
 
-def _planning_parts(state: _State, parts: _MachineParts, rng: Random) -> _PlanningParts:
+def _planning_parts(state: _SharedState, parts: _MachineParts, rng: Random) -> _PlanningParts:
     term, jobs, cluster, attempts = state.term, state.jobs, state.cluster, parts.attempts
     cycles = CycleFactory(term, jobs, cluster, state.fleet, state.scorer, parts.machines, rng)
     placer = Placer(term, cluster, parts.machines, state.placement_records, attempts, state.pending)
@@ -243,7 +245,9 @@
     return _PlanningParts(placer, gangs, evacuation, scheduler, autoscaler)
 
 
-def _worker_parts(state: _State, parts: _MachineParts, evacuation: Evacuation) -> _WorkerParts:
+def _worker_parts(
+    state: _SharedState, parts: _MachineParts, evacuation: Evacuation
+) -> _WorkerParts:
     task_statuses = TaskStatuses(state.term, state.jobs, state.run_times, parts.attempts)
     processing = HeartbeatProcessing(
         state.term,
@@ -256,8 +260,8 @@
         evacuation,
         state.pending,
     )
-    orders = Orders(state.term, state.jobs, state.pending)
-    commands = Commands(state.term, state.cluster, orders, state.pending, processing)
+    order_builder = OrderBuilder(state.term, state.jobs, state.pending)
+    commands = Commands(state.term, state.cluster, order_builder, state.pending, processing)
     receiver = HeartbeatReceiver(
         state.term,
         parts.machines,
@@ -270,7 +274,7 @@
     return _WorkerParts(task_statuses, processing, receiver, commands)
 
 
-def _job_parts(state: _State, attempts: Attempts, wall: WallTime) -> _JobParts:
+def _job_parts(state: _SharedState, attempts: Attempts, wall_time: WallTime) -> _JobParts:
     job_changes = JobChanges(
         state.term,
         state.jobs,
@@ -281,7 +285,7 @@
         state.interruptions,
         attempts,
         state.pending,
-        wall,
+        wall_time,
     )
     progress = Progress(state.jobs, state.cluster)
     write_outcomes = WriteOutcomes(
--- a/src/crosscleat/core/control/attempts.py
+++ b/src/crosscleat/core/control/attempts.py
@@ -1,7 +1,7 @@
-"""How attempts are stopped, and what follows once one is proven to have ended.
+"""Stops attempts, and updates the job once an attempt is proven to have ended.
 
-The two belong together: the end of a gang member stops the other members, and stopping an attempt
-whose start was never sent ends it at once.
+Both are in one module because they call each other: the end of a gang member stops the other
+members, and stopping an attempt whose start was never sent ends it at once.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Attempts:
-    """Stops attempts and carries out what the end of an attempt means for its task."""
+    """Stops attempts, and finishes or requeues the task of an attempt that has ended."""
 
     def __init__(
         self,
@@ -39,9 +39,9 @@
         self._pending = pending
 
     def stop(self, machine: Machine, allocation: Allocation, grace_s: float) -> None:
-        """Stop the attempt, with `grace_s` to save its progress.
+        """Stop the attempt, with `grace_s` seconds to save its progress.
 
-        Its allocation stays until the attempt is proven to have ended.
+        The allocation is kept until the attempt is proven to have ended.
         """
         allocation.stopping = True
         allocation.grace_s = grace_s
@@ -50,12 +50,12 @@
             self.ended(machine, allocation)
 
     def preempt(self, machine: Machine, allocation: Allocation) -> None:
-        """Stop the attempt, with time to save its progress if it can."""
+        """Stop the attempt, with time to save its progress if the job has checkpoints."""
         spec = allocation.spec
         self.stop(machine, allocation, spec.save_s if spec.checkpoint_s > 0 else 0.0)
 
     def stop_gang(self, job: Job, grace_s: float) -> None:
-        """Stop all members of a gang; they are placed again together once all have ended."""
+        """Stop all members of a gang; once all have ended, the gang is placed again as a whole."""
         self._pending.incomplete_gangs.pop(job.ref, None)
         job.progress.mark_stopping(self._term.now)
         to_stop = [
@@ -64,13 +64,18 @@
             if not allocation.stopping
         ]
         for _, allocation in to_stop:
-            # Marked before any of them ends: the end of one must not stop the gang once more.
+            # All members are marked before any of them ends, so that the end of one does not stop
+            # the gang a second time.
             allocation.stopping = True
         for machine, allocation in to_stop:
             self.stop(machine, allocation, grace_s)
 
     def ended(self, machine: Machine, allocation: Allocation, cause: str | None = None) -> None:
-        """The attempt is proven to have ended, with its exit's cause or, if None, no result."""
+        """Release the allocation of an attempt that is proven to have ended, and update its task.
+
+        `cause` is the cause of the exit that a heartbeat has reported; None if no exit was
+        reported.
+        """
         self._cluster.remove(machine, allocation)
         self._pending.cycle_wanted = True
         self._pending.write_soon()
@@ -82,30 +87,33 @@
         job.idle_since = now
         self._placement_records.record_for(job, job.chunk_of(number)).mark_changed(None, now)
         if cause == heartbeats.DONE or (job.is_gang and job.done_count):
-            self._finish(job, number)
+            self._finish_task(job, number)
         elif job.cancelled:
             job.requeue(number, None)
             self._pending.record_end_if_over(job)
         else:
             if job.is_gang:
-                self._gang_member_lost(job, number, machine, cause)
-            job.requeue(number, self._retries.not_before(machine, job, number, cause))
+                self._handle_lost_gang_member(job, number, machine, cause)
+            job.requeue(number, self._retries.plan_retry(machine, job, number, cause))
 
-    def _finish(self, job: Job, number: int) -> None:
-        """The task is done.
+    def _finish_task(self, job: Job, number: int) -> None:
+        """Mark the task as done.
 
-        The members of a gang complete together: once one is done, the others have ended with that
-        result too, or after it with their machine.
+        The members of a gang complete together: once one is done, the others have completed too, or
+        have ended later with their machine, and count as done.
         """
         job.finish(number)
         if job.is_gang:
             job.finish_unplaced()
         self._pending.record_end_if_over(job)
 
-    def _gang_member_lost(self, job: Job, number: int, machine: Machine, cause: str | None) -> None:
-        """A member ended without a result: it is to be replaced, or the whole gang is stopped.
+    def _handle_lost_gang_member(
+        self, job: Job, number: int, machine: Machine, cause: str | None
+    ) -> None:
+        """Mark a member that ended without a result for replacement, or else stop the whole gang.
 
-        There is no time to save: progress since the last checkpoint is lost, or saved already.
+        The other members get no time to save: their progress since the last checkpoint is lost
+        without this member, or has been saved already.
         """
         if may_replace(cause, self._cluster.allocations_of(job, except_number=number)):
             job.progress.lost_on.add(machine.id)
--- a/src/crosscleat/core/control/commands.py
+++ b/src/crosscleat/core/control/commands.py
@@ -1,8 +1,8 @@
-"""Orders to workers, in the answers to their heartbeats and by direct commands.
+"""Sends orders to workers, in the responses to their heartbeats and as direct commands.
 
-An answer to a heartbeat is executed before the worker's next heartbeat, or never. A direct command
-may be executed late, or twice; only a higher fencing token rules that out, so the machine keeps the
-token of each direct start (`DirectChannel.pending_start_token` and `starts`).
+A worker executes the response to a heartbeat before it sends its next heartbeat, or never. It may
+execute a direct command late, or twice, until it has seen a higher fencing token. For each machine
+the tokens of direct starts are therefore kept (`DirectChannel.pending_start_token` and `starts`).
 """
 
 from __future__ import annotations
@@ -24,69 +24,74 @@
 )
 from ..state.cluster import ClusterState
 from ..state.machine import Machine
-from .orders import Orders
+from .orders import OrderBuilder
 from .pending_work import PendingWork
 
 MAX_HEARTBEAT_REQUESTS = 30
-"""Most machines that are asked for a heartbeat in one tick, a tenth of a second."""
+"""Maximum number of machines that are asked for a heartbeat in one tick of 0.1 s."""
 
-DIRECT_PAUSE_S = 1.5
-"""No direct command is sent for twice this time after one without an answer, and for twice as long
-again after each further one, up to `MAX_DIRECT_PAUSE_S`."""
+DIRECT_PAUSE_BASE_S = 1.5
+"""Base of the backoff after unanswered direct commands, in seconds. The first pause is twice this
+value, and each further unanswered command doubles it, up to `MAX_DIRECT_PAUSE_S`."""
 
 MAX_DIRECT_PAUSE_S = 48.0
-"""The longest such pause."""
+"""Maximum pause in seconds between direct commands to a machine that does not answer them."""
 
 
-class DirectReplies(Protocol):
-    """Takes the replies to direct commands (`heartbeat_processing.HeartbeatProcessing`)."""
+class DirectReplyHandler(Protocol):
+    """Handles the replies to direct commands (`heartbeat_processing.HeartbeatProcessing`)."""
 
     def reply_received(self, machine: Machine, heartbeat: Heartbeat) -> None:
-        """A direct command to the machine was answered with this heartbeat."""
+        """Handle the heartbeat with which the machine answered a direct command."""
 
     def reply_missed(self, machine: Machine) -> None:
-        """A direct command to the machine was not answered."""
+        """Handle a direct command that the machine did not answer."""
 
 
 class Commands:
-    """Sends orders, and keeps of each machine which of them may still be executed late."""
+    """Sends orders, and keeps track of the direct starts that a worker may still execute late."""
 
     def __init__(
         self,
         term: LeadingTerm,
         cluster: ClusterState,
-        orders: Orders,
+        order_builder: OrderBuilder,
         pending: PendingWork,
-        replies: DirectReplies,
+        reply_handler: DirectReplyHandler,
     ) -> None:
         self._term = term
         self._cluster = cluster
-        self._orders = orders
+        self._order_builder = order_builder
         self._pending = pending
-        self._replies = replies
+        self._reply_handler = reply_handler
 
-    def answer(self, request: int, machine: Machine, now: Seconds, sequence: int) -> None:
-        """Answer the heartbeat with this sequence number with what the worker is to do."""
+    def respond_to_heartbeat(
+        self, request: int, machine: Machine, now: Seconds, sequence: int
+    ) -> None:
+        """Respond to the machine's heartbeat of this sequence number with orders."""
         token = self._term.election.token
         if token is not None:
-            orders = self.orders(machine, now, sequence)
+            orders = self.build_orders(machine, now, sequence)
             self._term.outbox.add(HeartbeatResponse(request, token, tuple(orders)))
 
-    def orders(self, machine: Machine, now: Seconds, answering: int | None) -> list[Order]:
-        """What the worker is to do.
+    def build_orders(
+        self, machine: Machine, now: Seconds, answered_sequence: int | None
+    ) -> list[Order]:
+        """Build the orders for the worker, and mark the starts among them as sent.
 
-        `answering` is the sequence number of the heartbeat answered; None: a direct command.
+        `answered_sequence` is the sequence number of the heartbeat that the orders respond to, or
+        None if they are sent as a direct command.
         """
-        self._orders.begin()
-        return self._orders.make(machine, now, answering)
+        self._order_builder.clear_gang_cache()
+        return self._order_builder.build(machine, now, answered_sequence)
 
     # Direct commands
 
     def send_direct(self, now: Seconds) -> None:
-        """Send their orders to the machines that are marked as direct targets."""
+        """Send direct commands to the machines in `PendingWork.direct_targets`."""
         pending = self._pending
         targets, pending.direct_targets = pending.direct_targets, {}
-        self._orders.begin()
+        self._order_builder.clear_gang_cache()
         if self._term.election.token is None:
             return
         for machine_id in targets:
@@ -98,10 +103,10 @@
                 continue
             if now < machine.direct.paused_until:
                 continue
-            # Clearing can wait for the next heartbeat.
+            # Clear orders are not urgent: they are sent with the response to the next heartbeat.
             orders = tuple(
                 order
-                for order in self._orders.make(machine, now, None)
+                for order in self._order_builder.build(machine, now, None)
                 if not isinstance(order, ClearOrder)
             )
             if orders:
@@ -115,9 +120,9 @@
         )
 
     def send_heartbeat_requests(self) -> None:
-        """Ask the next of the queued machines for a heartbeat.
+        """Ask the next machines in the queue for a heartbeat.
 
-        A new leader asks all machines, a few at a time: hundreds of messages at once would delay
+        A new leader asks all machines, a few in each tick: hundreds of messages at once would delay
         the renewal of its own lease and the first starts.
         """
         queued = self._pending.heartbeat_requests
@@ -132,7 +137,10 @@
                 self.request_heartbeat(machine)
 
     def request_heartbeat(self, machine: Machine) -> None:
-        """Send no orders: this shows the worker our token, and its answer shows us its status."""
+        """Send a direct command without orders.
+
+        The worker learns this leader's fencing token from it, and replies with its status.
+        """
         if not machine.direct.in_flight:
             self._send(machine, self._agent_epoch_of(machine), ())
 
@@ -146,9 +154,9 @@
             )
 
     def _agent_epoch_of(self, machine: Machine) -> AgentEpoch:
-        """The highest agent epoch known of the worker: of its heartbeats or of a placement."""
-        placed = (allocation.agent_epoch for allocation in machine.allocations.values())
-        return max(machine.heartbeat_id.agent_epoch, AgentEpoch(1), *placed)
+        """The highest agent epoch known for the worker, from its heartbeats or its allocations."""
+        placement_epochs = (allocation.agent_epoch for allocation in machine.allocations.values())
+        return max(machine.heartbeat_id.agent_epoch, AgentEpoch(1), *placement_epochs)
 
     def _send(self, machine: Machine, agent_epoch: AgentEpoch, orders: tuple[Order, ...]) -> None:
         token = self._term.election.token
@@ -160,25 +168,34 @@
             task = TaskId.parse(order.task)
             if task is not None:
                 machine.direct.starts[task, Attempt(order.attempt)] = token
-        # Orders other than starts do no harm when they are executed late.
-        done = self._when_done(machine, token if starts else NO_TOKEN)
-        self._term.outbox.add(DirectCommand(machine.address, token, agent_epoch, orders, done))
+        # Orders other than starts are harmless when they are executed late.
+        handle_reply = self._make_reply_handler(machine, token if starts else NO_TOKEN)
+        self._term.outbox.add(
+            DirectCommand(machine.address, token, agent_epoch, orders, handle_reply)
+        )
+
+    def _make_reply_handler(
+        self, machine: Machine, start_token: Token
+    ) -> Callable[[DirectReply], None]:
+        """Build the continuation of a direct command.
+
+        `start_token` is the command's token if it contains starts, otherwise `NO_TOKEN`.
+        """
 
-    def _when_done(self, machine: Machine, risked: Token) -> Callable[[DirectReply], None]:
-        def done(reply: DirectReply) -> None:
+        def handle_reply(reply: DirectReply) -> None:
             direct = machine.direct
             direct.in_flight = False
             if self._term.retired:
                 return
             if reply.heartbeat is None:
                 direct.failures += 1
-                pause = min(MAX_DIRECT_PAUSE_S, DIRECT_PAUSE_S * 2.0**direct.failures)
+                pause = min(MAX_DIRECT_PAUSE_S, DIRECT_PAUSE_BASE_S * 2.0**direct.failures)
                 direct.paused_until = Seconds(self._term.now + pause)
-                self._replies.reply_missed(machine)
+                self._reply_handler.reply_missed(machine)
                 if reply.may_execute:
-                    direct.pending_start_token = max(direct.pending_start_token, risked)
+                    direct.pending_start_token = max(direct.pending_start_token, start_token)
                 return
             direct.failures = 0
-            self._replies.reply_received(machine, reply.heartbeat)
+            self._reply_handler.reply_received(machine, reply.heartbeat)
 
-        return done
+        return handle_reply
--- a/src/crosscleat/core/control/controller.py
+++ b/src/crosscleat/core/control/controller.py
@@ -36,7 +36,7 @@
 from ..scheduling.shard_planning import plan_shard
 from ..state.placement_records import chunk_length_for
 from .assembly import build_leader
-from .job_watch import JobWatch, StoredState, TakeoverRead
+from .job_watch import JobWatch, StoredState, TakeoverReader
 from .leader import Leader
 from .takeover import load_records
 from .user_requests import UserRequests
@@ -209,12 +209,12 @@
     def elected(self, token: Token) -> None:
         """The election was won: read what earlier leaders left, then begin the term."""
         self._outbox.log("info", f"elected, token {token}")
-        TakeoverRead(
+        TakeoverReader(
             self._outbox,
             lambda: self._now,
             lambda: self.election.token == token,
             self._lead,
-        ).begin()
+        ).read_next()
 
     def _lead(self, stored: StoredState) -> None:
         """Begin a term with what earlier leaders left in the store."""
@@ -239,7 +239,7 @@
         )
         self.leader = leader
         self._outbox.log("info", f"leading with {len(leader.jobs)} jobs")
-        JobWatch(leader.term, leader.apply_job_changes, stored.live.revision).begin()
+        JobWatch(leader.term, leader.apply_job_changes, stored.live.revision).request_changes()
 
     def term_lost(self, reason: str) -> None:
         """The term is over: answers that come for it later are dropped."""
--- a/src/crosscleat/core/control/cycle_factory.py
+++ b/src/crosscleat/core/control/cycle_factory.py
@@ -1,4 +1,4 @@
-"""What a scheduling cycle starts from: the waiting jobs, the usable machines and the reserves."""
+"""Provides the inputs of a scheduling cycle: plannable jobs, usable machines and reserves."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from ..state.machine import Machine
 
 URGENT_RESERVE_SHARE = 0.5
-"""Free capacity left to urgent work, as a share of the CPUs of a large job."""
+"""Free capacity reserved for urgent work, as a share of the CPUs of a large job."""
 
 
 def is_plannable(job: Job) -> bool:
-    """Whether tasks of the job may be placed, as far as its record is concerned."""
+    """Whether tasks of the job may be placed: not cancelled, no reread of its record due."""
     return not job.cancelled and not job.needs_reread
 
 
 class CycleFactory:
-    """Makes scheduling cycles for the state as it is now."""
+    """Creates scheduling cycles from the current state of the cluster."""
 
     def __init__(
         self,
@@ -47,11 +47,11 @@
         self._rng = rng
 
     def may_place(self, now: Seconds) -> bool:
-        """Whether tasks may be placed at all."""
+        """Whether tasks may be placed: the leader may start tasks, and machine types are known."""
         return self._term.may_start(now) and bool(self._fleet.types)
 
     def plannable_jobs(self) -> Iterator[Job]:
-        """Jobs that a cycle may place tasks of."""
+        """Jobs whose tasks a cycle may place."""
         return (job for job in self._jobs.values() if is_plannable(job))
 
     def usable_machines(self, now: Seconds) -> list[Machine]:
@@ -60,11 +60,11 @@
         return [machine for machine in self._cluster.machines.values() if usable(machine, now)]
 
     def urgent_reserve_cpus(self) -> float:
-        """Free capacity that work below urgent leaves to urgent work to come."""
+        """CPUs that work of lower priority leaves free for future urgent work."""
         return URGENT_RESERVE_SHARE * self._fleet.targets.demand.large_job_cpus()
 
     def new_cycle(self, now: Seconds) -> SchedulingCycle:
-        """A cycle that plans for the present state."""
+        """Create a cycle that plans for the current state."""
         reserves = CycleReserves(
             urgent_cpus=self.urgent_reserve_cpus(),
             on_demand_cpus=self._fleet.targets.on_demand_only.large_job_cpus(),
--- a/src/crosscleat/core/control/gang_control.py
+++ b/src/crosscleat/core/control/gang_control.py
@@ -1,4 +1,4 @@
-"""What the leader does with gangs: complete those that wait, and stop those that can't go on."""
+"""Replaces lost members of waiting gangs, and stops gangs that can't continue."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class GangControl:
-    """Completes, evacuates and stops gangs."""
+    """Replaces lost gang members, and decides what to do with gangs on machines to be reclaimed."""
 
     def __init__(
         self,
@@ -42,17 +42,21 @@
     def resume(self, job: Job) -> None:
         """Take over a gang from an earlier leader.
 
-        If it is whole on record, it goes on. Otherwise no start of it was sent, or a member was
-        lost: it is completed or stopped.
+        If the placements of all members are recorded, the gang continues. Otherwise no start was
+        sent, or a member was lost: `complete_waiting` replaces the missing members or stops the
+        gang.
         """
         if job.done_count:
             job.finish_unplaced()
         elif job.partly_placed:
-            # Its members may still wait: decided once all its machines have sent a heartbeat.
+            # Whether its members still wait is known once all its machines have sent a heartbeat.
             self._pending.incomplete_gangs[job.ref] = job
 
-    def complete(self, now: Seconds) -> None:
-        """Replace lost members of gangs that still wait, under the number of their attempt."""
+    def complete_waiting(self, now: Seconds) -> None:
+        """Replace lost members of gangs that still wait, with the same attempt number.
+
+        A gang that has left the waiting phase, or can't be completed, is stopped.
+        """
         incomplete = self._pending.incomplete_gangs
         for job in list(incomplete.values()):
             if job.cancelled or not job.partly_placed:
@@ -62,17 +66,20 @@
             if phase is Phase.UNCONFIRMED or job.needs_reread:
                 continue
             incomplete.pop(job.ref, None)
-            if phase is not Phase.WAITING or not self._complete(job, now):
-                # There is no time to save: progress is lost, or saved already.
+            if phase is not Phase.WAITING or not self._replace_missing(job, now):
+                # No time to save is given: progress is lost with the member, or saved already.
                 self._attempts.stop_gang(job, 0.0)
 
-    def _complete(self, job: Job, now: Seconds) -> bool:
-        """Place the missing members where they can start while the others still wait."""
+    def _replace_missing(self, job: Job, now: Seconds) -> bool:
+        """Place the missing members on machines where they can start while the others still wait.
+
+        Returns whether all members are placed.
+        """
         missing = job.spec.tasks - job.placed_count()
         if missing != job.waiting_count():
             return False
-        since = job.progress.waiting_since
-        waited_s = 0.0 if since is None else now - since
+        waiting_since = job.progress.waiting_since
+        waited_s = 0.0 if waiting_since is None else now - waiting_since
         left_s = self._term.deployment.gang_wait_s - waited_s
         machines = [
             machine
@@ -83,20 +90,20 @@
             self._placer.place(job, self._cluster.machines[assignment.machine])
         if job.placed_count() < job.spec.tasks:
             return False
-        log = f"job {job.ref}: {missing} lost tasks of a waiting gang replaced"
+        log = f"job {job.ref}: replaced {missing} lost tasks of its waiting gang"
         self._term.outbox.log("info", log)
         return True
 
     def evacuate(self, machine: Machine, now: Seconds) -> None:
-        """Decide what becomes of the gangs on a machine that the cloud will reclaim."""
+        """Decide by `respond_to_notice` what to do with the gangs on a machine to be reclaimed."""
         if machine.reclaim_at is None:
             return
         for allocation in list(machine.allocations.values()):
             job = self._jobs.get(allocation.task.job)
             if job is not None and job.is_gang and not job.cancelled and not allocation.replaced:
-                self._evacuate(job, machine, allocation, machine.reclaim_at - now, now)
+                self._respond_to_notice(job, machine, allocation, machine.reclaim_at - now, now)
 
-    def _evacuate(
+    def _respond_to_notice(
         self, job: Job, machine: Machine, allocation: Allocation, notice_s: float, now: Seconds
     ) -> None:
         decision = respond_to_notice(
--- a/src/crosscleat/core/control/heartbeat_receiver.py
+++ b/src/crosscleat/core/control/heartbeat_receiver.py
@@ -52,7 +52,7 @@
         self._contact.heartbeat_received(now)
         if not machine.confirmed_in_term:
             self._pending.queue_heartbeat_requests([machine])
-        self._commands.answer(request, machine, now, heartbeat.heartbeat_id.sequence)
+        self._commands.respond_to_heartbeat(request, machine, now, heartbeat.heartbeat_id.sequence)
         if now - machine.last_response_at > ANSWERED_LEASES * self._term.deployment.lease_s:
             # Heartbeats held up by a network partition arrive all at once, long after their
             # workers stopped waiting for the answers.
--- a/src/crosscleat/core/control/job_changes.py
+++ b/src/crosscleat/core/control/job_changes.py
@@ -1,4 +1,4 @@
-"""What the leader does when users submit or cancel jobs."""
+"""Applies submissions and cancellations of jobs to the leader's state."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class JobChanges:
-    """Applies the live records of jobs to the leader's own state of them."""
+    """Updates the leader's jobs from their live records in the store."""
 
     def __init__(
         self,
@@ -33,9 +33,9 @@
         interruptions: InterruptionStats,
         attempts: Attempts,
         pending: PendingWork,
-        wall: WallTime,
+        wall_time: WallTime,
     ) -> None:
-        """`wall` is the wall-clock time at the beginning of the term."""
+        """`wall_time` is the wall-clock time at the beginning of the term."""
         self._term = term
         self._jobs = jobs
         self._cluster = cluster
@@ -45,10 +45,13 @@
         self._interruptions = interruptions
         self._attempts = attempts
         self._pending = pending
-        self._wall_offset_s = wall - term.now
+        self._wall_offset_s = wall_time - term.now
 
-    def read(self, live: Item, now: Seconds) -> Job:
-        """The job that a live record describes."""
+    def create_job(self, live: Item, now: Seconds) -> Job:
+        """Create a job from its live record.
+
+        The record's submission time, on the wall clock, is converted to the steady clock.
+        """
         submitted = Seconds(min(now, submitted_at(live.value) - self._wall_offset_s))
         chunk_length = self._placement_records.chunk_length
         job = Job(spec_of(live.value), live.version, submitted, chunk_length)
@@ -56,14 +59,14 @@
         return job
 
     def apply(self, changes: Iterable[Item], now: Seconds) -> None:
-        """Take in live records that users' requests have created or changed."""
+        """Apply live records that users' requests have created or changed."""
         for change in changes:
             ref = JobRef(change.key.partition("/")[2])
             job = self._jobs.get(ref)
             if change.version == ABSENT:
                 continue
             if job is None:
-                job = self._jobs[ref] = self.read(change, now)
+                job = self._jobs[ref] = self.create_job(change, now)
                 self._fleet.targets.record_arrival(job, now)
                 job.at_risk = self._interruptions.at_risk(job, self._scorer, now)
                 self._pending.cycle_wanted = True
@@ -77,7 +80,7 @@
                     self.cancel(job)
 
     def cancel(self, job: Job) -> None:
-        """Stop all attempts of the job, and record its end once none is left."""
+        """Stop all attempts of the job; its end is recorded once all have ended."""
         if job.cancelled:
             return
         job.cancelled = True
--- a/src/crosscleat/core/control/job_watch.py
+++ b/src/crosscleat/core/control/job_watch.py
@@ -1,7 +1,7 @@
-"""What a new leader reads from the store, and how it follows the live jobs from then on.
+"""Reads the stored state at a takeover, and watches the live jobs for changes afterwards.
 
 A takeover reads the live jobs first, then the records of placements, of decommissions and of
-controllers' versions. `JobWatch` starts at the revision of that first read, so it misses no change.
+controllers' versions. `JobWatch` starts at the revision of the first read, so it misses no change.
 """
 
 from __future__ import annotations
@@ -25,53 +25,53 @@
 from ..state.keys import DECOMMISSIONED, FORMAT, LIVE, PLACEMENTS
 
 WATCH_BLOCK_S = 1.0
-"""For so long the store may hold back the answer of a watch that has nothing to say."""
+"""Maximum time in seconds for which the store holds a watch request open without changes."""
 
 WATCH_RETRY_S = 0.2
-"""Before a watch that was not answered is opened again."""
+"""Pause in seconds before a watch request that was not answered is sent again."""
 
 TAKEOVER_PREFIXES = (LIVE, PLACEMENTS, DECOMMISSIONED, FORMAT)
-"""What a takeover reads, in this order; ended jobs are not read."""
+"""Key prefixes that a takeover reads, in this order; ended jobs are not read."""
 
 
 class StoredState(msgspec.Struct, frozen=True):
-    """What earlier leaders left in the store, as a takeover has read it."""
+    """The records that a takeover has read from the store."""
 
     live: ScanResult
     placement_records: list[Item]
     decommission_records: list[Item]
     formats: list[Item]
     read_at: Seconds
-    """When the live jobs were asked for: later cancellations may be missing from them."""
+    """When the read of the live jobs was sent; `live` may lack cancellations after that time."""
 
 
-class TakeoverRead:
-    """Reads what a new term starts from, one prefix after the other, each until it is answered."""
+class TakeoverReader:
+    """Reads the stored state for a new term, one prefix at a time, and retries unanswered reads."""
 
     def __init__(
         self,
         outbox: Outbox,
         clock: Callable[[], Seconds],
         still_elected: Callable[[], bool],
-        completed: Callable[[StoredState], None],
+        on_completed: Callable[[StoredState], None],
     ) -> None:
-        """Make a reader; `completed` is called once, when all has been read.
+        """Create a reader; `on_completed` is called once, when all prefixes have been read.
 
-        `still_elected` says whether the term that this read is for goes on: an answer that comes
-        after its end is dropped.
+        `still_elected` returns whether this controller still holds the leadership that the state is
+        read for. If not, answers are dropped.
         """
         self._outbox = outbox
         self._clock = clock
         self._still_elected = still_elected
-        self._completed = completed
+        self._on_completed = on_completed
         self._listings: list[ScanResult] = []
         self._read_at = clock()
 
-    def begin(self) -> None:
-        """Ask for the first prefix that has not been read yet."""
-        self._outbox.add(Scan(TAKEOVER_PREFIXES[len(self._listings)], self._scanned))
+    def read_next(self) -> None:
+        """Request the first prefix that has not been read yet."""
+        self._outbox.add(Scan(TAKEOVER_PREFIXES[len(self._listings)], self._handle_scan_result))
 
-    def _scanned(self, listing: ScanResult | Unanswered) -> None:
+    def _handle_scan_result(self, listing: ScanResult | Unanswered) -> None:
         if not self._still_elected():
             return
         if isinstance(listing, ScanResult):
@@ -79,10 +79,10 @@
         elif not self._listings:
             self._read_at = self._clock()
         if len(self._listings) < len(TAKEOVER_PREFIXES):
-            self.begin()
+            self.read_next()
             return
         live, placement_records, decommission_records, formats = self._listings
-        self._completed(
+        self._on_completed(
             StoredState(
                 live,
                 placement_records.items,
@@ -94,56 +94,56 @@
 
 
 class JobWatch:
-    """Brings a term every change that users make to live jobs, until the term ends."""
+    """Passes every change of live records on to the leader, until the term ends."""
 
     def __init__(
-        self, term: LeadingTerm, changed: Callable[[list[Item], Seconds], None], after: Version
+        self, term: LeadingTerm, on_changes: Callable[[list[Item], Seconds], None], after: Version
     ) -> None:
-        """`changed` gets the changed records, oldest first; `after` is the last revision known."""
+        """`on_changes` gets the changed records, oldest first; `after` is the known revision."""
         self._term = term
-        self._changed = changed
+        self._on_changes = on_changes
         self._after = after
 
-    def begin(self) -> None:
-        """Ask for the changes since the last revision known."""
+    def request_changes(self) -> None:
+        """Request the changes since the last known revision."""
         if self._term.retired:
             return
-        opened = self._term.now
+        opened_at = self._term.now
         self._term.outbox.add(
             Watch(
                 LIVE,
                 self._after,
                 WATCH_BLOCK_S,
-                lambda outcome: self._answered(opened, outcome),
+                lambda outcome: self._handle_outcome(opened_at, outcome),
             )
         )
 
-    def _answered(self, opened: Seconds, outcome: WatchOutcome) -> None:
+    def _handle_outcome(self, opened_at: Seconds, outcome: WatchOutcome) -> None:
         if self._term.retired:
             return
         if isinstance(outcome, Unanswered):
-            self._term.outbox.add(Delay(WATCH_RETRY_S, self.begin))
+            self._term.outbox.add(Delay(WATCH_RETRY_S, self.request_changes))
         elif isinstance(outcome, ChangesLost):
             self._read_all()
         else:
-            self._term.watch_answered(opened)
+            self._term.watch_answered(opened_at)
             changes = [change for change in outcome.changes if change.key.startswith(LIVE)]
             if changes:
-                self._changed(changes, self._term.now)
+                self._on_changes(changes, self._term.now)
             self._after = max(self._after, outcome.revision)
-            self.begin()
+            self.request_changes()
 
     def _read_all(self) -> None:
-        """The store no longer has all changes since our revision: read the records themselves."""
+        """Read all live records, as the store no longer has all changes since the last revision."""
 
-        def scanned(listing: ScanResult | Unanswered) -> None:
+        def handle_scan_result(listing: ScanResult | Unanswered) -> None:
             if self._term.retired:
                 return
             if isinstance(listing, Unanswered):
                 self._read_all()
                 return
-            self._changed(listing.items, self._term.now)
+            self._on_changes(listing.items, self._term.now)
             self._after = listing.revision
-            self.begin()
+            self.request_changes()
 
-        self._term.outbox.add(Scan(LIVE, scanned))
+        self._term.outbox.add(Scan(LIVE, handle_scan_result))
--- a/src/crosscleat/core/control/live_jobs.py
+++ b/src/crosscleat/core/control/live_jobs.py
@@ -1,7 +1,7 @@
-"""A copy of the live jobs on every controller, from which users' questions are answered.
+"""A copy of the live jobs on every controller, from which users' status queries are answered.
 
-It is brought up to date by one request for the changes since its revision, and read completely only
-at first or if the store no longer has those changes.
+A refresh requests the changes since the copy's revision. All live jobs are read only for the first
+refresh, or if the store no longer has those changes.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 class LiveJobsCopy:
     """Which jobs are live, and which of them are cancelled, as of the last refresh."""
 
-    def __init__(self, outbox: Outbox, ended: Callable[[JobRef], None]) -> None:
-        """`ended` is called for each job that a refresh finds to be no longer live."""
+    def __init__(self, outbox: Outbox, on_ended: Callable[[JobRef], None]) -> None:
+        """`on_ended` is called for each job that a refresh finds to be no longer live."""
         self._outbox = outbox
-        self._ended = ended
+        self._on_ended = on_ended
         self._cancelled: dict[JobRef, bool] = {}
-        """All live jobs, and whether they are cancelled."""
+        """All live jobs, and whether each is cancelled."""
         self._revision: Version | None = None
-        """The store's revision that the copy has reached; None: it must be read completely."""
+        """The store's revision that the copy reflects; None: all live jobs must be read."""
 
     def __contains__(self, ref: JobRef) -> bool:
         return ref in self._cancelled
@@ -42,42 +42,42 @@
         """Whether this live job is cancelled; raises `KeyError` for a job that is not live."""
         return self._cancelled[ref]
 
-    def refresh(self, refreshed: Callable[[bool], None]) -> None:
-        """Take in all changes until now, then call `refreshed`: whether the store has answered.
+    def refresh(self, on_refreshed: Callable[[bool], None]) -> None:
+        """Apply all changes until now, then call `on_refreshed` with whether the store answered.
 
-        At most one refresh may be waiting for its answer.
+        At most one refresh may be in progress.
         """
         after = self._revision
         if after is None:
-            self._read_all(refreshed)
+            self._read_all(on_refreshed)
             return
 
-        def changes_received(outcome: WatchOutcome) -> None:
+        def handle_outcome(outcome: WatchOutcome) -> None:
             if isinstance(outcome, Unanswered):
-                refreshed(False)
+                on_refreshed(False)
                 return
             if isinstance(outcome, ChangesLost):
-                # This copy is too old to go on from.
+                # The copy is too old to be updated by changes alone.
                 self._revision = None
-                self._read_all(refreshed)
+                self._read_all(on_refreshed)
                 return
             self._revision = max(after, outcome.revision)
             self._apply(outcome.changes)
-            refreshed(True)
+            on_refreshed(True)
 
-        self._outbox.add(Watch(LIVE, after, 0.0, changes_received, for_user=True))
+        self._outbox.add(Watch(LIVE, after, 0.0, handle_outcome, for_user=True))
 
-    def _read_all(self, refreshed: Callable[[bool], None]) -> None:
-        def scanned(listing: ScanResult | Unanswered) -> None:
+    def _read_all(self, on_refreshed: Callable[[bool], None]) -> None:
+        def handle_scan_result(listing: ScanResult | Unanswered) -> None:
             if isinstance(listing, Unanswered):
-                refreshed(False)
+                on_refreshed(False)
                 return
             self._cancelled.clear()
             self._revision = listing.revision
             self._apply(listing.items)
-            refreshed(True)
+            on_refreshed(True)
 
-        self._outbox.add(Scan(LIVE, scanned, for_user=True))
+        self._outbox.add(Scan(LIVE, handle_scan_result, for_user=True))
 
     def _apply(self, items: list[Item]) -> None:
         for item in items:
@@ -88,4 +88,4 @@
                 self._cancelled[ref] = is_cancelled(item.value)
             else:
                 self._cancelled.pop(ref, None)
-                self._ended(ref)
+                self._on_ended(ref)
--- a/src/crosscleat/core/control/orders.py
+++ b/src/crosscleat/core/control/orders.py
@@ -1,4 +1,4 @@
-"""What a worker is to do: which attempts to start, to stop and to forget."""
+"""Builds the orders for a worker: which attempts to start, to stop and to clear."""
 
 from __future__ import annotations
 
@@ -13,27 +13,28 @@
 from .pending_work import PendingWork
 
 MAX_ORDERS = 300
-"""Most orders in one message; the rest follows with the next."""
+"""Maximum number of orders in one message; the rest is sent with the next message."""
 
 
-class Orders:
-    """Makes out the orders for workers, from the allocations on their machines."""
+class OrderBuilder:
+    """Builds the orders for workers from the allocations on their machines."""
 
     def __init__(self, term: LeadingTerm, jobs: dict[JobRef, Job], pending: PendingWork) -> None:
         self._term = term
         self._jobs = jobs
         self._pending = pending
         self._gangs_complete: dict[JobRef, bool] = {}
-        """Of gangs met since `begin`: whether the placements of all members are on record."""
+        """Cache of whether the placements of all members of a gang are recorded."""
 
-    def begin(self) -> None:
-        """Begin a series of messages between which nothing is recorded."""
+    def clear_gang_cache(self) -> None:
+        """Clear the cache of complete gangs; it is valid while no placement is recorded."""
         self._gangs_complete.clear()
 
-    def make(self, machine: Machine, now: Seconds, answering: int | None) -> list[Order]:
-        """What the worker is to do, as far as one message may say it; its starts count as sent.
+    def build(self, machine: Machine, now: Seconds, answered_sequence: int | None) -> list[Order]:
+        """Build at most `MAX_ORDERS` orders for the worker, and mark all due starts as sent.
 
-        `answering` is the sequence number of the heartbeat answered; None: a direct command.
+        `answered_sequence` is the sequence number of the heartbeat that the orders respond to, or
+        None if they are sent as a direct command.
         """
         orders: list[Order] = []
         may_start = self._term.may_start(now)
@@ -44,12 +45,12 @@
                         StopOrder(str(allocation.task), allocation.attempt, allocation.grace_s)
                     )
                 elif machine.shown_token <= machine.direct.pending_start_token:
-                    self._want_rotation(machine)
+                    self._request_rotation(machine)
             elif may_start and self._is_startable(machine, allocation):
                 orders.append(StartOrder(str(allocation.task), allocation.attempt))
                 allocation.start_sent = True
-                if answering is not None:
-                    allocation.start_sent_at_sequence = answering
+                if answered_sequence is not None:
+                    allocation.start_sent_at_sequence = answered_sequence
         for task, attempt in machine.orphans:
             orders.append(StopOrder(str(task), attempt, 0.0))
         orders.extend(
@@ -60,7 +61,7 @@
         return orders[:MAX_ORDERS]
 
     def _is_startable(self, machine: Machine, allocation: Allocation) -> bool:
-        """Whether the attempt is on record and the worker's agent epoch is the one it is for."""
+        """Whether a start may be sent: the attempt is recorded and for the present agent epoch."""
         if (
             not allocation.recorded
             or allocation.in_last_heartbeat
@@ -69,7 +70,7 @@
             return False
         if allocation.spec.shape is not Shape.GANG:
             return True
-        # No member of a gang is started before the store has the placements of all.
+        # No member of a gang is started before the placements of all members are recorded.
         complete = self._gangs_complete.get(allocation.task.job)
         if complete is None:
             job = self._jobs.get(allocation.task.job)
@@ -79,19 +80,20 @@
         return complete
 
     def _is_clearable(self, machine: Machine, key: AttemptKey) -> bool:
-        """Whether the worker may forget the exited attempt.
+        """Whether the worker may be told to forget the exited attempt.
 
-        A late start would then start it again. So no start may still arrive, and the store must
-        not name the attempt any more, or the next leader would send a start.
+        Once the worker has forgotten it, a start that arrives late would run it again. So no start
+        may still be under way, and the stored records must no longer contain the attempt, because
+        the next leader would send a start for it.
         """
         if machine.direct.in_flight:
             return False
-        # A direct start may come twice even if it was answered. A result is kept, so a task that
-        # is done can be started again without harm.
-        harmless = machine.exited[key] == heartbeats.DONE
-        repeated = NO_TOKEN if harmless else machine.direct.starts.get(key, NO_TOKEN)
-        if machine.shown_token <= max(machine.direct.pending_start_token, repeated):
-            self._want_rotation(machine)
+        # A direct start may arrive twice even if it was answered. That is harmless for a task that
+        # is done, because its result is kept.
+        done = machine.exited[key] == heartbeats.DONE
+        repeat_token = NO_TOKEN if done else machine.direct.starts.get(key, NO_TOKEN)
+        if machine.shown_token <= max(machine.direct.pending_start_token, repeat_token):
+            self._request_rotation(machine)
             return False
         task, attempt = key
         job = self._jobs.get(task.job)
@@ -100,6 +102,6 @@
         chunk = job.chunks.get(task.number // job.chunk_length)
         return chunk is None or (task.number, attempt, machine.id) not in chunk.recorded
 
-    def _want_rotation(self, machine: Machine) -> None:
+    def _request_rotation(self, machine: Machine) -> None:
         if machine.shown_token >= self._term.began_token:
             self._pending.rotation_wanted = True
--- a/src/crosscleat/core/control/placer.py
+++ b/src/crosscleat/core/control/placer.py
@@ -1,4 +1,4 @@
-"""How an assignment becomes an allocation: only if everything that may run now still admits it."""
+"""Turns assignments into allocations, after a check against the current state of the cluster."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Placer:
-    """Commits assignments, whoever planned them: the leader or a shard owner."""
+    """Commits the assignments that the leader or a shard owner has planned."""
 
     def __init__(
         self,
@@ -36,9 +36,9 @@
         self._pending = pending
 
     def place(self, job: Job, machine: Machine) -> None:
-        """Place the job's next waiting task on the machine, if that is still possible."""
+        """Place the job's next waiting task on the machine, if that is still allowed."""
         now = self._term.now
-        if not self._admits(job, machine, now):
+        if not self._can_place(job, machine, now):
             return
         spec = job.spec
         task, attempt = job.place(machine.id, machine.heartbeat_id.agent_epoch)
@@ -56,7 +56,7 @@
             placed_at=now,
         )
         self._cluster.add(machine, allocation)
-        # Images are taken to be fetched one after the other.
+        # Assumes that a machine fetches images one after the other.
         last_ready = max(machine.images.ready_at.values(), default=now)
         ready = Seconds(max(now, last_ready) + fetch_time(spec, machine.type))
         machine.use_image(spec.image, spec.image_gb, ready)
@@ -68,12 +68,12 @@
         for machine in machines:
             self.place(job, machine)
         if job.placed_count() < job.spec.tasks:
-            # Nothing of it was sent or written: it is as if it had not been placed.
+            # No start was sent and no placement written yet, so the allocations can be released.
             for machine, allocation in list(self._cluster.allocations_of(job)):
                 self._attempts.ended(machine, allocation)
 
-    def _admits(self, job: Job, machine: Machine, now: Seconds) -> bool:
-        """Whether a task waits, and the machine, the zone and the team's quota admit it."""
+    def _can_place(self, job: Job, machine: Machine, now: Seconds) -> bool:
+        """Whether a task waits, and the machine, its zone and the team's quota allow it."""
         spec = job.spec
         limits = self._term.deployment.teams.get(spec.team)
         cpus, gpus = self._cluster.team_cpus, self._cluster.team_gpus
--- a/src/crosscleat/core/control/retries.py
+++ b/src/crosscleat/core/control/retries.py
@@ -1,4 +1,4 @@
-"""When a task that ended without a result may be placed again, and which machines are at fault."""
+"""Retry pauses of tasks that ended without a result, and quarantine of faulty machines."""
 
 from __future__ import annotations
 
@@ -10,56 +10,60 @@
 from ..state.machine import Machine
 
 QUARANTINE_JOBS = 2
-"""A machine on which so many different jobs failed is quarantined."""
+"""Number of different jobs whose failure on a machine causes its quarantine."""
 
-BLAMELESS_CAUSES = (
+NO_FAULT_CAUSES = (
     None,
     heartbeats.STOPPED,
     heartbeats.GANG_MEMBER_LOST,
     heartbeats.INCOMPLETE,
 )
-"""Ends that say nothing against the task or its machine: it may be placed again at once."""
+"""Causes that are no fault of the task or its machine: the task may be placed again at once."""
 
-FULL_PAUSE_S = 4.0
-"""Nothing is placed for so long on a machine that refused a start for lack of capacity."""
+FULL_MACHINE_PAUSE_S = 4.0
+"""Time in seconds without placements on a machine that refused a start for lack of capacity."""
 
 REFUSED_PAUSE_S = 0.3
-"""Pause before a task that was refused for lack of capacity is placed elsewhere."""
+"""Pause in seconds before a task that was refused for lack of capacity is placed elsewhere."""
 
-ENDED_PAUSE_S = 2.0
-"""Pause before a task is placed again that ended in any other way."""
+DEFAULT_PAUSE_S = 2.0
+"""Pause in seconds before a task is placed again that ended for any other cause."""
 
-MAX_FAILED_PAUSE_S = 60.0
-"""The longest pause of a task that fails again and again."""
+MAX_FAILURE_PAUSE_S = 60.0
+"""Maximum pause in seconds of a task that fails repeatedly."""
 
 
 class Retries:
-    """Decides on pauses before the next attempt, and quarantines machines."""
+    """Decides how long a task waits before its next attempt, and quarantines machines."""
 
     def __init__(self, term: LeadingTerm, jobs: dict[JobRef, Job]) -> None:
         self._term = term
         self._jobs = jobs
 
-    def not_before(
+    def plan_retry(
         self, machine: Machine, job: Job, number: int, cause: str | None
     ) -> Seconds | None:
-        """When the task may be placed again; None: at once."""
-        if cause in BLAMELESS_CAUSES:
+        """Decide when a task whose attempt ended may be placed again; None: at once.
+
+        A failure counts against the task and the machine. After a refusal for lack of capacity
+        nothing is placed on the machine for `FULL_MACHINE_PAUSE_S`.
+        """
+        if cause in NO_FAULT_CAUSES:
             return None
         now = self._term.now
-        pause_s = ENDED_PAUSE_S
+        pause_s = DEFAULT_PAUSE_S
         if cause == heartbeats.ERROR:
             pause_s = self._count_failure(machine, job, number)
         elif cause == heartbeats.NO_CAPACITY:
-            machine.placement_paused_until = Seconds(now + FULL_PAUSE_S)
+            machine.placement_paused_until = Seconds(now + FULL_MACHINE_PAUSE_S)
             if job.is_gang:
-                # The other members may be waiting for this one.
+                # The other members of the gang may be waiting for this one.
                 return None
             pause_s = REFUSED_PAUSE_S
         return Seconds(now + pause_s)
 
     def _count_failure(self, machine: Machine, job: Job, number: int) -> float:
-        """Count a failure of the task and of its machine; returns the task's pause in seconds."""
+        """Count a failure against the task and its machine; returns the task's pause in seconds."""
         failures = job.failures.get(number, 0) + 1
         job.failures[number] = failures
         job.failed_on.add(machine.id)
@@ -67,13 +71,13 @@
         if not machine.quarantined and self._is_faulty(machine):
             machine.quarantined = True
             self._term.outbox.log(
-                "info", f"machine {machine.id}: several jobs fail on it, draining"
+                "info", f"machine {machine.id}: quarantined, several jobs failed on it"
             )
         if failures == 1 and job.succeeded:
             return 0.0
-        return min(MAX_FAILED_PAUSE_S, 0.5 * 2.0**failures)
+        return min(MAX_FAILURE_PAUSE_S, 0.5 * 2.0**failures)
 
     def _is_faulty(self, machine: Machine) -> bool:
-        """Whether several jobs failed on the machine, not counting those that fail anywhere."""
+        """Whether several jobs failed on the machine, without those that fail on any machine."""
         jobs = (self._jobs.get(JobRef(ref)) for ref in machine.failed_jobs)
         return sum(1 for job in jobs if job and not fails_repeatedly(job)) >= QUARANTINE_JOBS
--- a/src/crosscleat/core/control/scheduler.py
+++ b/src/crosscleat/core/control/scheduler.py
@@ -1,7 +1,7 @@
-"""When scheduling cycles run, and what becomes of what they choose.
+"""Decides when scheduling cycles run, and commits their assignments.
 
-A full cycle comes at fixed intervals, and shard owners plan their shards of it; a prompt cycle
-follows as soon as something has changed that may let a task be placed.
+A full cycle runs at fixed intervals, and shard owners plan their shards of it. A prompt cycle runs
+as soon as something has changed that may allow a task to be placed.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 from .pending_work import PendingWork
 from .placer import Placer
 
-PROMPT_MACHINES = 1_500
-"""With more machines, prompt cycles follow each other less closely: each looks at all of them."""
+MACHINES_AT_FULL_RATE = 1_500
+"""Number of machines above which prompt cycles run less often: each cycle looks at all machines."""
 
-PROMPT_JOBS = 250
-"""With more jobs, prompt cycles follow each other less closely, for the same reason."""
+JOBS_AT_FULL_RATE = 250
+"""Number of jobs above which prompt cycles run less often: each cycle looks at all jobs."""
 
 
 class Scheduler:
-    """Runs scheduling cycles, dispatches shards and commits the assignments of both."""
+    """Runs scheduling cycles, dispatches shards, and commits the assignments of both."""
 
     def __init__(
         self,
@@ -62,29 +62,29 @@
         self._pending = pending
         self._rng = rng
         self._shards = ShardDispatcher(term, cluster, rng)
-        self._cycle_at = term.now
-        self._preempt_at = term.now
+        self._next_cycle_at = term.now
+        self._next_preemption_at = term.now
         self._preemption_deferred = False
-        """The last cycle left tasks waiting, too soon after the last preemption for another."""
+        """The last cycle skipped preemption, because the last preemption was too recent."""
 
     def run_if_due(self, now: Seconds) -> None:
-        """Run a cycle if something has changed, and not too soon after the last one."""
-        preempts = self._preemption_deferred and now >= self._preempt_at
-        if (self._pending.cycle_wanted or preempts) and now >= self._cycle_at:
-            self._cycle_at = Seconds(now + self._min_interval_s())
+        """Run a cycle if one is wanted, unless the last one was too recent."""
+        preemption_due = self._preemption_deferred and now >= self._next_preemption_at
+        if (self._pending.cycle_wanted or preemption_due) and now >= self._next_cycle_at:
+            self._next_cycle_at = Seconds(now + self._min_interval_s())
             self._pending.cycle_wanted = False
             self._run_cycle(now)
 
     def _min_interval_s(self) -> float:
-        """The least time between two cycles, which bounds their share of the processor."""
-        machines = len(self._cluster.machines) / PROMPT_MACHINES
-        factor = max(1.0, machines, len(self._jobs) / PROMPT_JOBS)
+        """Minimum time between two cycles, which limits their share of CPU time."""
+        machine_factor = len(self._cluster.machines) / MACHINES_AT_FULL_RATE
+        factor = max(1.0, machine_factor, len(self._jobs) / JOBS_AT_FULL_RATE)
         return factor * self._term.deployment.tuning.prompt_round_s
 
     def _run_cycle(self, now: Seconds) -> None:
         if not self._cycles.may_place(now):
             return
-        self._gangs.complete(now)
+        self._gangs.complete_waiting(now)
         jobs = list(self._cycles.plannable_jobs())
         machines = self._cycles.usable_machines(now)
         own_jobs = [job for job in jobs if not self._shards.is_planned_elsewhere(job, now)]
@@ -110,37 +110,42 @@
                 self._placer.place(job, machine)
 
     def _preempt(self, jobs: list[Job], machines: list[Machine], now: Seconds) -> None:
-        """Stop work of a lower priority where the cycle found no free capacity."""
-        self._preemption_deferred = now < self._preempt_at
+        """Stop tasks chosen by `choose_victims` for jobs that the cycle found no capacity for."""
+        self._preemption_deferred = now < self._next_preemption_at
         if self._preemption_deferred:
             return
-        self._preempt_at = Seconds(now + PREEMPTION_INTERVAL_S)
+        self._next_preemption_at = Seconds(now + PREEMPTION_INTERVAL_S)
         context = CycleContext(self._cluster, self._term.deployment.teams, now)
         victims = choose_victims(context, self._jobs, jobs, machines, self._rng)
         for machine, allocation in victims:
             self._attempts.preempt(machine, allocation)
         if victims:
-            self._term.outbox.log("debug", f"{len(victims)} tasks stopped for more urgent work")
+            self._term.outbox.log("debug", f"{len(victims)} tasks preempted for more urgent work")
 
     def dispatch_shards(self, now: Seconds) -> None:
-        """In a full cycle, send the other shard owners their shards."""
+        """Send the other shard owners their shards of a full cycle."""
         if not self._cycles.may_place(now):
             return
         shards = self._shards.shards(self._cycles.plannable_jobs())
         if not shards:
             return
         machines = self._cycles.usable_machines(now)
-        kept = self._cycles.new_cycle(now).machines_kept_for_on_demand(machines)
-        machines = [machine for machine in machines if machine.id not in kept]
+        kept_for_on_demand = self._cycles.new_cycle(now).machines_kept_for_on_demand(machines)
+        machines = [machine for machine in machines if machine.id not in kept_for_on_demand]
         reservations = self._cycles.new_cycle(now).reservations(
             self._cycles.plannable_jobs(), machines
         )
-        reserve = self._cycles.urgent_reserve_cpus()
-        inputs = ShardInputs(machines, reservations, reserve, self._run_times.factors, now)
+        urgent_reserve_cpus = self._cycles.urgent_reserve_cpus()
+        inputs = ShardInputs(
+            machines, reservations, urgent_reserve_cpus, self._run_times.factors, now
+        )
         self._shards.dispatch(shards, inputs)
 
     def commit_proposal(self, member: Member, proposal: ShardProposal, now: Seconds) -> None:
-        """Commit a shard owner's assignments as far as possible, if they are not outdated."""
+        """Commit a shard owner's assignments, unless the proposal is outdated.
+
+        Assignments that the current state no longer allows are skipped.
+        """
         if not self._shards.expects(member, proposal):
             return
         assignments = self._shards.accept(member, proposal)
--- a/src/crosscleat/core/control/takeover.py
+++ b/src/crosscleat/core/control/takeover.py
@@ -22,7 +22,7 @@
     `live` are the records of live jobs, the others those of placements and of decommissions.
     """
     for item in live:
-        job = leader.job_changes.read(item, now)
+        job = leader.job_changes.create_job(item, now)
         leader.jobs[job.ref] = job
     if not (placement_records or decommission_records):
         leader.autoscaler.expect_no_machines()
--- a/src/crosscleat/core/control/write_outcomes.py
+++ b/src/crosscleat/core/control/write_outcomes.py
@@ -1,4 +1,4 @@
-"""What follows from the leader's transactions for jobs and their attempts."""
+"""Updates jobs and their attempts according to the outcomes of the leader's transactions."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class WriteOutcomes:
-    """Acts on what the writer reports (`writer.RecordListener`)."""
+    """Handles what the writer reports (`writer.RecordListener`)."""
 
     def __init__(
         self,
@@ -35,33 +35,33 @@
         self._pending = pending
 
     def placements_recorded(self, job: Job, numbers: list[int]) -> None:
-        """The placements of the tasks with these numbers are on record: they may be started."""
+        """Allow the starts of the tasks with these numbers, whose placements are now recorded."""
         for number in numbers:
             placed = job.chunk_of(number).placed[number]
-            found = self._cluster.find(job.ref, number, placed.attempt, placed.machine)
-            if found is None:
+            located = self._cluster.find(job.ref, number, placed.attempt, placed.machine)
+            if located is None:
                 continue
-            machine, allocation = found
+            machine, allocation = located
             allocation.recorded = True
             if not allocation.stopping:
                 self._pending.send_soon(machine.id)
         if job.is_gang and numbers and job.fully_recorded:
-            # Members recorded earlier waited for the last one.
+            # The starts of members that were recorded earlier waited for the last member.
             for machine, _ in self._cluster.allocations_of(job):
                 self._pending.send_soon(machine.id)
 
-    def placements_void(self, job: Job) -> None:
-        """The job was cancelled: placements not on record were never sent, and never will be."""
+    def placements_voided(self, job: Job) -> None:
+        """Release the unrecorded placements of a cancelled job; their starts were never sent."""
         for machine, allocation in list(self._cluster.allocations_of(job)):
             if not allocation.recorded:
                 self._attempts.ended(machine, allocation)
 
     def job_reread(self, live: Item) -> None:
-        """A job's live record, read again after a conflict."""
+        """Apply a job's live record that was read again after a conflict."""
         self._job_changes.apply([live], self._term.now)
 
     def end_recorded(self, job: Job) -> None:
-        """The job's end is on record: the leader forgets the job."""
+        """Forget a job whose end is recorded."""
         del self._jobs[job.ref]
         self._progress.forget(job.ref)
-        self._term.outbox.log("debug", f"job {job.ref} over")
+        self._term.outbox.log("debug", f"job {job.ref}: end recorded")
--- a/src/crosscleat/core/control/writer.py
+++ b/src/crosscleat/core/control/writer.py
@@ -1,8 +1,9 @@
-"""The leader's transactions: what is written when, and what follows from each answer.
+"""Writes the leader's records to the store, in one transaction at a time.
 
-Writes go out one transaction at a time, so that the versions they compare are known. One without
-an answer may or may not have been carried out: it is repeated until it is answered, before anything
-else is written, and a conflict that could stem from our own earlier try ends the term.
+With one transaction at a time, the leader knows the versions that the next one has to compare. A
+transaction without an answer may or may not have been carried out: it is repeated until it is
+answered, before anything else is written. A conflict that an earlier attempt of the same
+transaction may have caused ends the term.
 """
 
 from __future__ import annotations
@@ -31,36 +32,36 @@
 from ..state.placement_records import PlacementRecord, PlacementRecords
 from .pending_work import PendingWork
 
-DEFERRED_WRITES_S = 0.8
-"""How often records are written that only spare a later leader some work."""
+DEFERRED_WRITE_INTERVAL_S = 0.8
+"""Interval in seconds of writes that are not urgent: they only save a later leader some work."""
 
 MAX_DEFERRED_WRITES = 4
-"""Of those in one transaction."""
+"""Maximum number of such writes in one transaction."""
 
 MAX_END_WRITES = 6
-"""Writes that record the ends of jobs, in one transaction."""
+"""Maximum number of writes in one transaction that record the ends of jobs."""
 
 MAX_DECOMMISSIONS = 100
-"""Machines whose decommission one transaction records."""
+"""Maximum number of machines whose decommission is recorded in one transaction."""
 
-MIN_ROTATION_S = 3.0
-"""Least time between two rotations of the fencing token."""
+MIN_ROTATION_INTERVAL_S = 3.0
+"""Minimum time in seconds between two rotations of the fencing token."""
 
 
 class RecordListener(Protocol):
-    """Acts on what has been written (`write_outcomes.WriteOutcomes`)."""
+    """Is notified of the outcomes of transactions (`write_outcomes.WriteOutcomes`)."""
 
     def placements_recorded(self, job: Job, numbers: list[int]) -> None:
-        """The placements of the tasks with these numbers are on record: they may be started."""
+        """The placements of the tasks with these numbers are recorded: starts may be sent."""
 
-    def placements_void(self, job: Job) -> None:
-        """Placements of this job that are not on record never will be."""
+    def placements_voided(self, job: Job) -> None:
+        """The placements of this job that are not recorded yet are void: they won't be written."""
 
     def job_reread(self, live: Item) -> None:
-        """A job's live record as it is now, read after a conflict."""
+        """A job's live record was read again after a conflict."""
 
     def end_recorded(self, job: Job) -> None:
-        """The job's end is on record."""
+        """The job's end is recorded."""
 
 
 class Writer:
@@ -84,43 +85,44 @@
         self._pending = pending
         self._listener = listener
         self._obsolete: deque[tuple[str, Version]] = deque()
-        """Keys and versions of records without content, to be removed."""
+        """Keys and versions of records that are no longer needed, to be removed."""
         self._deferred_written_at = term.now
         self._rotated_at = term.now
         self.writing = False
-        """A transaction is in flight."""
+        """Whether a transaction is in flight."""
 
     def remove(self, obsolete: Iterable[tuple[str, Version]]) -> None:
-        """Remove these records, a few at a time."""
+        """Queue these records, by key and version, for removal; a few are removed at a time."""
         self._obsolete.extend(obsolete)
 
     def flush(self, now: Seconds) -> None:
-        """Send the next transaction, if none is in flight: the token's rotation goes first."""
+        """Send the next transaction, if none is in flight; a token rotation takes precedence."""
         token = self._term.election.token
         if self.writing or self._term.retired or token is None:
             return
         if (
             self._pending.rotation_wanted
-            and now - self._rotated_at > MIN_ROTATION_S
+            and now - self._rotated_at > MIN_ROTATION_INTERVAL_S
             and self._rotate(now)
         ):
             self._pending.rotation_wanted = False
             return
-        with_deferred = now - self._deferred_written_at >= DEFERRED_WRITES_S
-        if not with_deferred and not self._pending.unwritten:
+        deferred_due = now - self._deferred_written_at >= DEFERRED_WRITE_INTERVAL_S
+        if not deferred_due and not self._pending.unwritten:
             return
         self._pending.unwritten = False
         batch = self._urgent_batch(token, now)
-        if with_deferred:
+        if deferred_due:
             self._deferred_written_at = now
             self._add_deferred(batch)
         if batch.writes:
             self._write(batch)
 
     def _urgent_batch(self, token: Token, now: Seconds) -> Batch:
-        """Starts, decommissions and ends of jobs, which users poll for, in this order.
+        """Collect placements that starts wait for, decommissions and ends of jobs, in this order.
 
-        The store admits few writes a second, so what does not fit waits for the next transaction.
+        Ends of jobs are urgent because users poll for them. The store allows few writes a second,
+        so what does not fit into this transaction waits for the next one.
         """
         batch = Batch(token, self._term.deployment.txn_ops)
         for record in self._placement_records.awaited_by_starts(now):
@@ -133,7 +135,7 @@
         return batch
 
     def _add_deferred(self, batch: Batch) -> None:
-        """Add a few records that only spare a later leader some work."""
+        """Add a few writes that are not urgent, as they only save a later leader some work."""
         batch.limit_writes(MAX_DEFERRED_WRITES)
         for record in self._placement_records.deferrable():
             self._add_deferred_record(batch, record)
@@ -171,34 +173,34 @@
             Commit(
                 tuple(batch.conditions.items()),
                 tuple(batch.writes),
-                lambda result: self._answered(batch, result),
+                lambda result: self._handle_outcome(batch, result),
             )
         )
 
-    def _answered(self, batch: Batch, result: CommitOutcome) -> None:
+    def _handle_outcome(self, batch: Batch, result: CommitOutcome) -> None:
         if self._term.retired:
             return
         if isinstance(result, Unanswered):
-            # It may have been carried out, or may be later: nothing else is written before that is
-            # known.
+            # The transaction may have been carried out, or may be later. Nothing else is written
+            # until that is known.
             self._write(batch)
             return
         self.writing = False
         self._pending.unwritten = True
         if isinstance(result, Committed):
-            self._committed(batch, result.revision)
-        elif isinstance(result, Conflict) and self._only_users_changes(batch, result):
+            self._handle_committed(batch, result.revision)
+        elif isinstance(result, Conflict) and self._only_live_records_changed(batch, result):
             self._void_cancelled(batch, result.failed)
         else:
-            self._term.election.resign("a transaction found other versions than the leader knows")
+            self._term.election.resign("a transaction failed with an unexpected version conflict")
 
-    def _only_users_changes(self, batch: Batch, conflict: Conflict) -> bool:
-        """Whether nothing but live records have changed, which users change by cancelling."""
+    def _only_live_records_changed(self, batch: Batch, conflict: Conflict) -> bool:
+        """Whether only live records have changed: users change them by cancelling jobs."""
         live_keys = {live_key(job.ref) for job in batch.compared_jobs}
         return not conflict.repeated and bool(conflict.failed) and conflict.failed <= live_keys
 
-    def _committed(self, batch: Batch, revision: Version) -> None:
-        """Take in the new versions, and tell the leader what is on record now."""
+    def _handle_committed(self, batch: Batch, revision: Version) -> None:
+        """Store the new versions, and notify the listener of what is recorded now."""
         for machine in batch.decommissioned:
             machine.decommission_recorded = True
         if batch.decommission_record is not None:
@@ -224,47 +226,47 @@
         self.remove(self._placement_records.take_rewritten())
 
     def _void_cancelled(self, batch: Batch, failed: frozenset[str]) -> None:
-        """Users cancelled jobs of the batch, so nothing of it was written.
+        """Handle a batch that was not written because users have cancelled some of its jobs.
 
-        Starts are sent only once they are on record, so those jobs' new placements are void. The
-        other records of the batch are written again.
+        Starts are sent only once the placements are recorded, so the new placements of the
+        cancelled jobs are void. The other records of the batch are written again.
         """
         for record in batch.removed_records:
             record.removal_pending = False
         for job in batch.compared_jobs:
             if live_key(job.ref) not in failed:
                 continue
-            self._listener.placements_void(job)
+            self._listener.placements_voided(job)
             if batch.conditions[live_key(job.ref)] == job.version:
                 job.needs_reread = True
                 self._reread(job)
         for record in batch.placement_records:
-            urgent = [
+            priorities = [
                 job.spec.priority
                 for job, chunk in record.entries.values()
                 if chunk.has_unrecorded()
             ]
-            record.mark_changed(max(urgent, default=None), self._term.now)
+            record.mark_changed(max(priorities, default=None), self._term.now)
 
     def _reread(self, job: Job) -> None:
-        def live_read(found: ReadResult | Unanswered) -> None:
-            if isinstance(found, ReadResult) and found.item is not None:
-                self._listener.job_reread(found.item)
+        def handle_live_record(result: ReadResult | Unanswered) -> None:
+            if isinstance(result, ReadResult) and result.item is not None:
+                self._listener.job_reread(result.item)
             elif not self._term.retired and self._jobs.get(job.ref) is job and job.needs_reread:
                 self._reread(job)
 
-        self._term.outbox.add(Read(live_key(job.ref), live_read))
+        self._term.outbox.add(Read(live_key(job.ref), handle_live_record))
 
     def _rotate(self, now: Seconds) -> bool:
-        """Take a higher token, so that workers refuse all direct commands sent before.
+        """Acquire a higher token, so that workers refuse all direct commands sent before.
 
         Returns whether the transaction was sent.
         """
 
-        def decided() -> None:
+        def handle_decided() -> None:
             self.writing = False
 
-        if not self._term.election.rotate(decided):
+        if not self._term.election.rotate(handle_decided):
             return False
         self.writing = True
         self._rotated_at = now
--- a/tests/gangs.py
+++ b/tests/gangs.py
@@ -79,7 +79,7 @@
 
 
 def start_orders(term: Term, machine: Machine) -> list[StartOrder]:
-    orders = term.leader.commands.orders(machine, term.now, 1)
+    orders = term.leader.commands.build_orders(machine, term.now, 1)
     return [order for order in orders if isinstance(order, StartOrder)]
 
 
--- a/tests/test_gang_attempts.py
+++ b/tests/test_gang_attempts.py
@@ -51,7 +51,9 @@
 
     allocations[0].recorded = True
     assert not [
-        o for o in term.leader.commands.orders(machine, term.now, 1) if isinstance(o, StartOrder)
+        o
+        for o in term.leader.commands.build_orders(machine, term.now, 1)
+        if isinstance(o, StartOrder)
     ]
 
     record_all(gang, machine)
@@ -81,7 +83,9 @@
 
     term.leader.attempts.stop_gang(gang, 5.0)
     stops = [
-        o for o in term.leader.commands.orders(machine, term.now, 1) if isinstance(o, StopOrder)
+        o
+        for o in term.leader.commands.build_orders(machine, term.now, 1)
+        if isinstance(o, StopOrder)
     ]
 
     assert [stop.grace_s for stop in stops] == [5.0, 5.0]
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -5,9 +5,9 @@
 import pytest
 
 from crosscleat.core.control.retries import (
-    ENDED_PAUSE_S,
-    FULL_PAUSE_S,
-    MAX_FAILED_PAUSE_S,
+    DEFAULT_PAUSE_S,
+    FULL_MACHINE_PAUSE_S,
+    MAX_FAILURE_PAUSE_S,
     REFUSED_PAUSE_S,
     Retries,
 )
@@ -43,15 +43,15 @@
 def test_a_task_that_is_not_to_blame_is_placed_again_at_once(cause: str | None) -> None:
     failing_job = job_of(1)
 
-    assert retries_of(failing_job).not_before(machine_of(0), failing_job, 0, cause) is None
+    assert retries_of(failing_job).plan_retry(machine_of(0), failing_job, 0, cause) is None
 
 
 def test_a_task_that_ended_for_an_unknown_cause_pauses() -> None:
     failing_job = job_of(1)
 
     assert (
-        retries_of(failing_job).not_before(machine_of(0), failing_job, 0, "odd")
-        == TERM_BEGAN + ENDED_PAUSE_S
+        retries_of(failing_job).plan_retry(machine_of(0), failing_job, 0, "odd")
+        == TERM_BEGAN + DEFAULT_PAUSE_S
     )
 
 
@@ -59,17 +59,17 @@
     failing_job, machine = job_of(1), machine_of(0)
 
     assert (
-        retries_of(failing_job).not_before(machine, failing_job, 0, NO_CAPACITY)
+        retries_of(failing_job).plan_retry(machine, failing_job, 0, NO_CAPACITY)
         == TERM_BEGAN + REFUSED_PAUSE_S
     )
-    assert machine.placement_paused_until == TERM_BEGAN + FULL_PAUSE_S
+    assert machine.placement_paused_until == TERM_BEGAN + FULL_MACHINE_PAUSE_S
 
 
 def test_a_refused_gang_member_is_placed_again_at_once_as_the_others_may_wait() -> None:
     gang, machine = job_of(1, Shape.GANG), machine_of(0)
 
-    assert retries_of(gang).not_before(machine, gang, 0, NO_CAPACITY) is None
-    assert machine.placement_paused_until == TERM_BEGAN + FULL_PAUSE_S
+    assert retries_of(gang).plan_retry(machine, gang, 0, NO_CAPACITY) is None
+    assert machine.placement_paused_until == TERM_BEGAN + FULL_MACHINE_PAUSE_S
 
 
 def test_pauses_double_with_each_failure_up_to_a_limit() -> None:
@@ -77,19 +77,19 @@
     retries = retries_of(failing_job)
 
     pauses = [
-        (retries.not_before(machine_of(number), failing_job, 0, ERROR) or TERM_BEGAN) - TERM_BEGAN
+        (retries.plan_retry(machine_of(number), failing_job, 0, ERROR) or TERM_BEGAN) - TERM_BEGAN
         for number in range(9)
     ]
 
-    assert pauses == [1.0, 2.0, 4.0, 8.0, 16.0, 32.0, *[MAX_FAILED_PAUSE_S] * 3]
+    assert pauses == [1.0, 2.0, 4.0, 8.0, 16.0, 32.0, *[MAX_FAILURE_PAUSE_S] * 3]
 
 
 def test_a_machine_is_quarantined_once_two_jobs_failed_on_it() -> None:
     failing_job, other, machine = job_of(1), job_of(2), machine_of(0)
     retries = retries_of(failing_job, other)
 
-    retries.not_before(machine, failing_job, 0, ERROR)
-    retries.not_before(machine, failing_job, 1, ERROR)
+    retries.plan_retry(machine, failing_job, 0, ERROR)
+    retries.plan_retry(machine, failing_job, 1, ERROR)
     assert not machine.quarantined
-    retries.not_before(machine, other, 0, ERROR)
+    retries.plan_retry(machine, other, 0, ERROR)
     assert machine.quarantined
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -17,7 +17,7 @@
 from crosscleat.core.capacity.pools import MAX_PER_RENTAL
 from crosscleat.core.control.leader import WATCHED_PER_S
 from crosscleat.core.control.progress import MAX_COUNTS
-from crosscleat.core.control.scheduler import PROMPT_MACHINES
+from crosscleat.core.control.scheduler import MACHINES_AT_FULL_RATE
 from crosscleat.core.model.cloud import MachineType
 from crosscleat.core.model.deployment import TeamLimits, TuningOptions
 from crosscleat.core.model.effects import ShardRequest
@@ -292,7 +292,7 @@
         term.leader.finish_step(term.now)
 
     assert 2 * machines <= watched[0] <= 6 * 1.3 * WATCHED_PER_S
-    assert looked_at[0] <= 6 * 1.3 * PROMPT_MACHINES / 0.15
+    assert looked_at[0] <= 6 * 1.3 * MACHINES_AT_FULL_RATE / 0.15
 
 
 @SIZES
--- a/tests/test_upgrade_coordination.py
+++ b/tests/test_upgrade_coordination.py
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize("complete", [False, True])
 def test_a_gang_is_rejected_at_once_until_all_controllers_have_changed(complete: bool) -> None:
     requests, outbox = user_requests()
-    requests._all_know_gangs = lambda: complete
+    requests._all_support_gangs = lambda: complete
     requests.submit(1, job("job-g", tasks=2, shape=Shape.GANG), WallTime(0.0))
     effects = outbox.take()
     if complete:
