--- a/tests/gangs.py
+++ b/tests/gangs.py
@@ -1,4 +1,4 @@
-"""Gangs in a world and gangs of a leader on its own, for the tests."""
+"""Sets up gangs for the tests, in the simulated world or with a leader on its own."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def world_with_gangs(
-    seed: int, estimate_s: float = 10.0, count: int = 3, zone: bool = True
+    seed: int, estimate_s: float = 10.0, count: int = 3, one_zone: bool = True
 ) -> World:
     world = World(seed)
     world.boot_fails = 0.0
@@ -47,7 +47,7 @@
                 estimate_s=estimate_s,
                 team=Team("blue"),
                 shape=Shape.GANG,
-                one_zone=zone,
+                one_zone=one_zone,
             )
         )
     world.clock.advance(15.0)
@@ -61,7 +61,7 @@
 
 
 def gang_term(tasks: int = 2) -> Term:
-    """A leader with a gang that waits, and one machine that has sent a heartbeat."""
+    """A leader with a gang that waits to be placed, and one machine that has sent a heartbeat."""
     term = Term()
     term.receive_heartbeat((1, 1))
     spec = job("job-g", tasks=tasks, cpus=1.0, estimate_s=30.0, shape=Shape.GANG)
@@ -71,7 +71,7 @@
 
 
 def record_all(gang: Job, machine: Machine) -> None:
-    """The store has recorded all allocations of the gang, which are on one machine."""
+    """Mark all allocations of the gang as recorded; all of them are on this machine."""
     for allocation in machine.allocations.values():
         allocation.recorded = True
     for chunk in gang.chunks.values():
@@ -84,14 +84,16 @@
 
 
 def new_leader_with_gang(recorded: int, tasks: int = 2) -> Term:
-    """A new leader whose records name that many tasks of a gang on m-0."""
-    before = Job(job("job-g", tasks=tasks, cpus=1.0, shape=Shape.GANG), Version(3), Seconds(0.0))
+    """A new leader that has read placements of `recorded` tasks of a gang, all on m-0."""
+    earlier_job = Job(
+        job("job-g", tasks=tasks, cpus=1.0, shape=Shape.GANG), Version(3), Seconds(0.0)
+    )
     records = PlacementRecords(16.0, 8, True)
     for _ in range(recorded):
-        task, _ = before.place(MachineId("m-0"), AgentEpoch(1))
-        records.record_for(before, before.chunk_of(task.number))
+        task, _ = earlier_job.place(MachineId("m-0"), AgentEpoch(1))
+        records.record_for(earlier_job, earlier_job.chunk_of(task.number))
     live = Item(
-        "live/job-g", live_record(before.spec, WallTime(-40.0), cancelled=False), Version(3)
+        "live/job-g", live_record(earlier_job.spec, WallTime(-40.0), cancelled=False), Version(3)
     )
     return Term([live], [Item(r.key, r.value(), Version(4)) for r in records])
 
@@ -119,7 +121,7 @@
 
 
 def placements(term: Term) -> dict[str, list[tuple[int, int]]]:
-    """Number and attempt of each task that may be on a machine, without those being stopped."""
+    """Number and attempt of the tasks on each machine, without those that are being stopped."""
     return {
         machine.id: [
             (allocation.task.number, allocation.attempt)
@@ -131,10 +133,10 @@
 
 
 def send_reclaim_notice(
-    term: Term, machine: str, sequence: int, left_s: float, tasks: tuple[TaskStatus, ...]
+    term: Term, machine: str, sequence: int, notice_s: float, tasks: tuple[TaskStatus, ...]
 ) -> None:
     heartbeat = msgspec.structs.replace(
-        term.heartbeat(machine, (1, sequence), tasks=tasks), notice_s=left_s
+        term.heartbeat(machine, (1, sequence), tasks=tasks), notice_s=notice_s
     )
     term.leader.receive_heartbeat(1, heartbeat, term.now, False)
 
--- a/tests/test_assembly.py
+++ b/tests/test_assembly.py
@@ -1,4 +1,8 @@
-"""A leader is put together in one place, out of parts that are whole once they are built."""
+"""`build_leader` hands all dependencies of a part to its constructor.
+
+A part that is given an attribute or a callback later could be used before it is complete, and the
+order in which parts may be built would no longer follow from the constructors.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +19,7 @@
 
 
 def part_modules() -> list[Path]:
-    """The modules of the parts that `assembly` puts together."""
+    """The modules of the parts that `build_leader` builds."""
     imports = [
         node
         for node in ast.walk(ast.parse(ASSEMBLY.read_text()))
@@ -50,7 +54,7 @@
     assert others == []
 
 
-def test_no_part_is_built_with_a_function_that_calls_a_later_one() -> None:
+def test_no_part_gets_a_lambda_that_calls_a_later_part() -> None:
     lambdas = [
         node for node in ast.walk(ast.parse(ASSEMBLY.read_text())) if isinstance(node, ast.Lambda)
     ]
--- a/tests/test_done_gangs.py
+++ b/tests/test_done_gangs.py
@@ -1,10 +1,10 @@
-"""A gang of which one task is done, and whose other machines lose power at that moment.
+"""A gang whose last task was neither started again nor counted as ended: the job never ended.
 
-Seen on the 22nd of 90 drawn days of seed 83 (`tests.drawn_days --seed 83`), cut down to what is
-needed: "job-000001 never ends". Four of the gang's five tasks were done; the fifth was on a machine
-that lost power and began its agent epochs again at the same number. Its heartbeats did not list the
-attempt any more, which for other jobs has the start sent again. A gang's start is only sent while
-all its members are on record, so this one was neither started again nor taken as ended.
+Found on the 22nd of 90 drawn days of seed 83 (`tests.drawn_days --seed 83`) as "job-000001 never
+ends", and reduced to the steps that are needed. Four of the gang's five tasks were done when the
+machine of the fifth lost power and began its agent epochs again at the same number, so its
+heartbeats no longer listed the attempt. For other jobs the start is then sent again, but a gang's
+start is only sent while the placements of all its members are recorded.
 """
 
 from __future__ import annotations
--- a/tests/test_gang_attempts.py
+++ b/tests/test_gang_attempts.py
@@ -1,4 +1,8 @@
-"""The attempts of a gang: their numbers, when their starts are sent, how they end."""
+"""Attempts of gangs: their numbers, when their starts are sent, and how they end.
+
+A gang's tasks find each other by the number of their attempt. If members had different numbers, or
+some were started before all placements are recorded, a part of the gang could run on its own.
+"""
 
 from __future__ import annotations
 
@@ -18,14 +22,14 @@
 
 def test_a_gang_with_a_task_in_backoff_is_not_placed() -> None:
     gang = make_job("job-g", tasks=2, cpus=1.0, shape=Shape.GANG, team=Team("blue"))
-    fleet = [make_machine("m-0")]
-    assert len(plan_cycle([gang], fleet)) == 2
+    machines = [make_machine("m-0")]
+    assert len(plan_cycle([gang], machines)) == 2
 
     for _ in range(2):
-        gang.place(fleet[0].id, fleet[0].heartbeat_id.agent_epoch)
+        gang.place(machines[0].id, machines[0].heartbeat_id.agent_epoch)
     gang.requeue(0, None)
     gang.requeue(1, type(gang.submitted)(1e6))
-    assert plan_cycle([gang], fleet) == []
+    assert plan_cycle([gang], machines) == []
 
 
 def test_all_tasks_of_an_attempt_have_one_number() -> None:
@@ -33,7 +37,7 @@
     machine = make_machine("m-0")
     assert {gang.place(machine.id, machine.heartbeat_id.agent_epoch)[1] for _ in range(3)} == {1}
 
-    # Only one member got a second attempt, which was void; the others never had that number.
+    # Only one member was placed in attempt 2, which then ended; the others never had that number.
     for index in range(3):
         gang.requeue(index, None)
     gang.place(machine.id, machine.heartbeat_id.agent_epoch)
@@ -111,7 +115,7 @@
     term.receive_heartbeat((1, 4))
     assert gang.placed_count() == 2, "the start may still arrive"
 
-    # Only a higher fencing token that the worker has seen rules that out.
+    # The start can't be executed any more once the worker has seen a higher fencing token.
     term.leader.term.election.token = Token(TOKEN + 5)
     term.receive_heartbeat((1, 5), token=TOKEN + 5)
     assert gang.placed_count() == 0
@@ -119,11 +123,11 @@
 
 
 @pytest.mark.parametrize("recorded", [1, 2])
-def test_a_new_leader_continues_a_gang_only_if_all_of_it_is_recorded(recorded: int) -> None:
+def test_a_new_leader_continues_a_gang_only_if_all_members_are_recorded(recorded: int) -> None:
     term = new_leader_with_gang(recorded)
     machine = term.leader.cluster.machines[MachineId("m-0")]
     if recorded == 1:
-        # Whether the gang waits is known from the first heartbeat; it runs, so it is stopped.
+        # The first heartbeat shows whether the gang still waits; it runs, so it is stopped.
         assert not any(allocation.stopping for allocation in machine.allocations.values())
         term.receive_heartbeat((1, 1), tasks=(task_status(0, "running"),))
 
--- a/tests/test_gang_notices.py
+++ b/tests/test_gang_notices.py
@@ -1,4 +1,8 @@
-"""What the reclaim notice of a spot machine does to a gang."""
+"""How the leader responds when a spot machine of a gang receives a reclaim notice.
+
+A gang loses its progress since the last checkpoint if it is stopped too late, or if the stop does
+not reach all of its members in time to save.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +23,7 @@
     send_reclaim_notice(term, "m-1", 4, 8.0, (task_status(1, "running"),))
     assert stopping_tasks(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
 
-    # A second notice, of the other machine: the gang is stopping already.
+    # A second notice, for the other machine, changes nothing: the gang is already being stopped.
     send_reclaim_notice(term, "m-0", 4, 8.0, (task_status(0, "running"),))
     assert stopping_tasks(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
     assert gang.progress.stopped_at == term.now
@@ -41,23 +45,26 @@
 
 def test_a_gang_stop_waits_for_an_unreachable_machine_while_the_reclaim_notice_lasts() -> None:
     term, _ = running_gang()
-    far = term.leader.cluster.machines[MachineId("m-0")]
-    far.direct.paused_until = Seconds(term.now + 100.0)
-    far.unresponsive_since = term.now
+    unreachable = term.leader.cluster.machines[MachineId("m-0")]
+    unreachable.direct.paused_until = Seconds(term.now + 100.0)
+    unreachable.unresponsive_since = term.now
     send_reclaim_notice(term, "m-1", 4, 8.0, (task_status(1, "running"),))
     assert stopping_tasks(term) == {}, "a stop that reaches only one member saves nothing"
 
     term.step(2.0)
-    far.unresponsive_since, far.direct.paused_until = None, Seconds(0.0)
+    unreachable.unresponsive_since, unreachable.direct.paused_until = None, Seconds(0.0)
     term.receive_heartbeat((1, 5), tasks=(task_status(0, "running"),))
     term.leader.watch_machines(term.now)
     assert stopping_tasks(term) == {"job-g/0": 2.0, "job-g/1": 2.0}
 
 
-def test_at_the_last_useful_moment_of_a_reclaim_notice_the_gang_ends_unsaved() -> None:
+def test_a_gang_is_stopped_without_grace_once_the_notice_is_too_short_to_save() -> None:
     term, _ = running_gang()
-    far = term.leader.cluster.machines[MachineId("m-0")]
-    far.direct.paused_until, far.unresponsive_since = Seconds(term.now + 100.0), term.now
+    unreachable = term.leader.cluster.machines[MachineId("m-0")]
+    unreachable.direct.paused_until, unreachable.unresponsive_since = (
+        Seconds(term.now + 100.0),
+        term.now,
+    )
     send_reclaim_notice(term, "m-1", 4, 8.0, (task_status(1, "running"),))
     term.step(5.5)
     term.receive_heartbeat((1, 5), machine="m-1", tasks=(task_status(1, "running"),))
--- a/tests/test_gang_progress.py
+++ b/tests/test_gang_progress.py
@@ -1,4 +1,4 @@
-"""The checkpoints of a gang, and what is learnt from its run times."""
+"""The saved progress of gangs, and the run times that are learned from them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .world import deployment, job
 
 
-def test_progress_is_what_a_saved_exit_proves_or_the_last_checkpoint() -> None:
+def test_progress_counts_up_to_a_saved_exit_or_the_last_checkpoint() -> None:
     spec = job("job-g", shape=Shape.GANG, checkpoint_s=10.0, save_s=2.0)
     progress = GangProgress()
     progress.mark_running(Seconds(100.0))
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(("attempt", "learned"), [(1, (2.0 + 2.0 / 3.0) / 3.0), (2, 1.0)])
-def test_a_gang_run_time_is_learnt_once_and_only_from_a_whole_run(
+def test_a_gang_run_time_is_learned_once_and_only_from_a_complete_run(
     attempt: int, learned: float
 ) -> None:
     """One observed ratio of 20 s to 30 s, averaged with two assumed ratios of 1.0."""
--- a/tests/test_gang_replacement.py
+++ b/tests/test_gang_replacement.py
@@ -1,4 +1,8 @@
-"""A waiting gang that loses a task."""
+"""Replacement of a task that a gang loses while its tasks still wait for each other.
+
+The replacement has the same attempt number, so it must be placed before the other tasks time out,
+and never once the gang runs: otherwise a part of the gang would run on its own.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,7 @@
 from .world import GANG_WAIT_S
 
 
-def test_a_lost_task_of_a_waiting_gang_is_replaced_under_its_number() -> None:
+def test_a_lost_task_of_a_waiting_gang_is_replaced_with_the_same_attempt_number() -> None:
     term, gang = gang_on_two_machines()
     term.receive_heartbeat((1, 1), machine="m-2")
     term.receive_heartbeat((1, 3), machine="m-1", tasks=(task_status(1, "exited", "no_room"),))
@@ -74,8 +78,13 @@
 
 
 @pytest.mark.parametrize("waited_s", [1.0, GANG_WAIT_S - 1.0])
-def test_no_replacement_comes_after_the_others_have_given_up(waited_s: float) -> None:
-    """Fetching the image takes 3 s, and may take a third longer."""
+def test_no_replacement_is_placed_that_would_start_after_the_others_time_out(
+    waited_s: float,
+) -> None:
+    """Fetching the image takes 3 s, and may take a third longer.
+
+    A replacement that starts after `gang_wait_s` finds that the other tasks have exited.
+    """
     term, gang = gang_on_two_machines()
     object.__setattr__(gang, "spec", msgspec.structs.replace(gang.spec, image_gb=3.0))
     term.step(waited_s)
@@ -101,7 +110,5 @@
 
     term.leader.finish_step(term.now)
 
-    assert sum(len(tasks_there) for tasks_there in placements(term).values()) == 2
-    assert {attempt for tasks_there in placements(term).values() for _, attempt in tasks_there} == {
-        1
-    }
+    assert sum(len(tasks) for tasks in placements(term).values()) == 2
+    assert {attempt for tasks in placements(term).values() for _, attempt in tasks} == {1}
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -1,7 +1,7 @@
-"""Jobs whose tasks run together or not at all, in a world.
+"""Gangs in the simulated world: all tasks of such a job run together, or none.
 
-The world raises `a part of a gang` when a task starts before the store has recorded the allocations
-of all members, or beside another attempt.
+The world raises an error when a gang's task starts before the store has recorded the placements of
+all members, or while another attempt of the gang runs.
 """
 
 from __future__ import annotations
@@ -66,7 +66,7 @@
 
 
 @seeds
-def test_a_failover_repeats_no_running_task(seed: int) -> None:
+def test_a_failover_restarts_no_running_task(seed: int) -> None:
     world = world_with_gangs(seed, estimate_s=40.0, count=1)
     assert running(world, "job-0") == 3
 
@@ -78,11 +78,11 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_late_starts_of_a_former_attempt_meet_no_other_attempt(seed: int) -> None:
-    """Only an attempt that cannot start any more is proven ended.
+def test_late_starts_of_an_earlier_attempt_do_not_run_beside_a_later_one(seed: int) -> None:
+    """Direct starts arrive seconds late, after a member was lost and the gang was placed again.
 
-    Direct starts are delayed for seconds; meanwhile a member is lost, and the whole gang is placed
-    again elsewhere.
+    If an attempt that may still start counted as ended, its late starts would run beside those of
+    the next attempt.
     """
     world = world_with_gangs(seed, estimate_s=8.0, count=1)
     world.flaky = 0.6
@@ -114,11 +114,11 @@
     assert running(world, "job-0") == 0
 
 
-def test_gangs_that_fit_only_one_at_a_time_all_run_in_the_end() -> None:
+def test_gangs_that_fit_only_one_at_a_time_all_finish() -> None:
     world = World(5)
     world.clock.advance(3.0)
     for number in range(4):
-        # Each needs over half of the team's quota.
+        # Each gang needs more than half of the team's quota.
         world.users.submit(
             job(f"job-{number}", tasks=4, cpus=2.0, estimate_s=5.0, shape=Shape.GANG)
         )
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,8 @@
-"""Pauses before the next attempt, and machines on which several jobs fail."""
+"""Retry pauses of tasks, and the quarantine of machines on which several jobs fail.
+
+Without a pause, a task that fails or is refused at once would be placed again in every cycle;
+without the quarantine, a faulty machine would go on failing the tasks of other jobs.
+"""
 
 from __future__ import annotations
 
@@ -40,7 +44,7 @@
 
 
 @pytest.mark.parametrize("cause", [None, STOPPED, GANG_MEMBER_LOST, INCOMPLETE])
-def test_a_task_that_is_not_to_blame_is_placed_again_at_once(cause: str | None) -> None:
+def test_a_task_that_ended_without_a_fault_is_retried_at_once(cause: str | None) -> None:
     failing_job = job_of(1)
 
     assert retries_of(failing_job).plan_retry(machine_of(0), failing_job, 0, cause) is None
--- a/tests/test_user_requests.py
+++ b/tests/test_user_requests.py
@@ -1,4 +1,4 @@
-"""How a controller answers submissions and queries; the test plays the store."""
+"""How a controller answers submissions and status queries; the tests supply the store's results."""
 
 from __future__ import annotations
 
@@ -42,7 +42,8 @@
     return list(outbox.take())
 
 
-def test_a_long_list_of_types_still_fits_the_store() -> None:
+def test_a_long_list_of_unknown_types_is_not_stored() -> None:
+    """A job may name any number of types; the store refuses a value that is too large."""
     names = (*(TypeName(f"nothing-{n}") for n in range(3000)), TYPES[0].name)
     (commit,) = submit(types=names)
     assert isinstance(commit, Commit)
@@ -55,7 +56,7 @@
 @pytest.mark.parametrize(
     "changes", [{"team": "green"}, {"cpus": 9.0}, {"cpus": 8.5, "team": "blue"}, {"zone": "x"}]
 )
-def test_what_can_never_run_is_refused_only_if_it_is_not_known(changes: dict[str, Any]) -> None:
+def test_a_job_that_can_never_run_is_refused_only_if_it_is_unknown(changes: dict[str, Any]) -> None:
     (read,) = submit(**changes)
 
     assert isinstance(read, Scan), "a repeat of an accepted job must never get 422"
@@ -73,15 +74,17 @@
 
 
 @pytest.mark.parametrize("changes", [{"one_zone": True}, {"zone": "a"}])
-def test_a_gang_that_its_zones_never_let_start_is_accepted(changes: dict[str, Any]) -> None:
-    """The protocol names no refusal for it; its user may cancel it."""
+def test_a_gang_whose_zone_constraints_forbid_its_start_is_accepted(
+    changes: dict[str, Any],
+) -> None:
+    """The protocol defines no refusal for such a job; its user can cancel it."""
     (effect,) = submit(tasks=2, spread=True, shape=Shape.GANG, **changes)
 
     assert isinstance(effect, Commit)
 
 
-def test_without_machine_types_nothing_is_decided() -> None:
-    requests, outbox = user_requests(types=False)
+def test_without_machine_types_a_submission_is_neither_accepted_nor_refused() -> None:
+    requests, outbox = user_requests(with_types=False)
     requests.submit(1, job("job-1"), WallTime(0.0))
 
     only(outbox, Scan).continuation(Unanswered())
@@ -90,7 +93,7 @@
     assert answer == Response(1, 503, None, 1)
 
 
-def test_an_admission_that_met_the_job_answers_with_its_state() -> None:
+def test_a_submission_that_finds_the_job_stored_is_answered_with_its_status() -> None:
     requests, outbox = user_requests()
     requests.submit(1, job("job-1"), WallTime(0.0))
     only(outbox, Commit).continuation(Conflict(frozenset({"live/job-1"}), False))
@@ -101,7 +104,7 @@
 
 
 def requests_with_copy() -> tuple[UserRequests, Outbox]:
-    """A controller whose copy of the jobs has job-1 and job-2, as of revision 5."""
+    """A controller whose copy of the live jobs has job-1 and job-2, as of revision 5."""
     requests, outbox = user_requests()
     requests.query(1, JobRef("job-1"))
     only(outbox, Scan).continuation(ScanResult([live("job-1", 4), live("job-2", 5)], Version(5)))
@@ -114,10 +117,10 @@
 def test_queries_share_a_read_that_began_after_them() -> None:
     requests, outbox = requests_with_copy()
     requests.query(2, JobRef("job-1"))
-    # Reads are not more frequent than the store's allowance admits.
-    pause = only(outbox, Delay)
+    # A refresh is delayed after the last one, to limit the load on the store.
+    delay = only(outbox, Delay)
     requests.query(3, JobRef("job-2"))
-    pause.continuation()
+    delay.continuation()
     read_changes = only(outbox, Watch)
     assert read_changes.after == 5
     assert read_changes.block_s == 0.0
@@ -126,15 +129,15 @@
     assert outbox.take() == [], "the query came after the read began"
 
     read_changes.continuation(WatchResult(Version(7), [live("job-1", 7, cancelled=True)]))
-    *answers, later = outbox.take()
+    *answers, next_delay = outbox.take()
     assert [a.body["status"] for a in answers if isinstance(a, Response) and a.body] == [
         "aborted",
         "queued",
     ]
     assert len(answers) == 2
-    assert isinstance(later, Delay)
+    assert isinstance(next_delay, Delay)
 
-    later.continuation()
+    next_delay.continuation()
     read_changes = only(outbox, Watch)
     assert read_changes.after == 7
 
--- a/tests/user_requests.py
+++ b/tests/user_requests.py
@@ -1,4 +1,4 @@
-"""The part of a controller that answers users, on its own, for the tests."""
+"""Builds a `UserRequests` without a controller, for the tests."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from .world import TYPES, deployment
 
 
-def user_requests(types: bool = True) -> tuple[UserRequests, Outbox]:
+def user_requests(with_types: bool = True) -> tuple[UserRequests, Outbox]:
     outbox = Outbox()
-    known = {machine_type.name: machine_type for machine_type in TYPES} if types else {}
+    types = {machine_type.name: machine_type for machine_type in TYPES} if with_types else {}
     return UserRequests(
-        deployment("c0"), outbox, known, lambda: Seconds(100.0), lambda: True
+        deployment("c0"), outbox, types, lambda: Seconds(100.0), lambda: True
     ), outbox
