--- a/src/crosscleat/core/control/controller.py
+++ b/src/crosscleat/core/control/controller.py
@@ -36,7 +36,7 @@
 from ..scheduling.shard_planning import plan_shard
 from ..state.placement_records import chunk_length_for
 from .assembly import build_leader
-from .job_watch import JobWatch, StoredState, TakeoverRead
+from .job_watch import JobWatch, StoredState, TakeoverReader
 from .leader import Leader
 from .takeover import load_records
 from .user_requests import UserRequests
@@ -217,12 +217,12 @@
     def elected(self, token: Token) -> None:
         """Read the records of earlier leaders from the store, then begin the term."""
         self._outbox.log("info", f"elected with fencing token {token}")
-        TakeoverRead(
+        TakeoverReader(
             self._outbox,
             lambda: self._now,
             lambda: self.election.token == token,
             self._begin_term,
-        ).begin()
+        ).read_next()
 
     def _begin_term(self, stored: StoredState) -> None:
         """Begin the term with the records of earlier leaders."""
@@ -247,7 +247,7 @@
         )
         self.leader = leader
         self._outbox.log("info", f"leading with {len(leader.jobs)} live jobs")
-        JobWatch(leader.term, leader.apply_job_changes, stored.live.revision).begin()
+        JobWatch(leader.term, leader.apply_job_changes, stored.live.revision).request_changes()
 
     def term_lost(self, reason: str) -> None:
         """End the term; replies that arrive for it later are ignored."""
