--- a/src/crosscleat/adapters/state_client.py
+++ b/src/crosscleat/adapters/state_client.py
@@ -166,7 +166,7 @@
 
     async def grant(self, call: GrantLease) -> LeaseId | Unanswered:
         """A new lease."""
-        body = wire.encode_lease_request(call.life_s)
+        body = wire.encode_lease_request(call.ttl_s)
         response = await self._connection.call("POST", "/grants", body, LEASE_TIMEOUT_S)
         return Unanswered() if response is None else _decode(wire.decode_lease, response.body)
 
--- a/src/crosscleat/core/capacity/deletions.py
+++ b/src/crosscleat/core/capacity/deletions.py
@@ -106,7 +106,7 @@
             if now - deleted_at <= DECOMMISSION_RECORD_S:
                 break
             self._recorded.popleft()
-            empty = self._records.remove_name(machine_id)
+            empty = self._records.remove_machine_id(machine_id)
             if empty is not None and empty.version:
                 obsolete.append((empty.key, empty.version))
         return obsolete
--- a/src/crosscleat/core/capacity/machines.py
+++ b/src/crosscleat/core/capacity/machines.py
@@ -9,7 +9,7 @@
 from ..model.heartbeats import Heartbeat
 from ..model.ids import MachineId, Seconds, TypeName, Zone
 from ..state.cluster import ClusterState
-from ..state.machine import NOWHERE, UNKNOWN_TYPE, Machine
+from ..state.machine import UNKNOWN_TYPE, UNKNOWN_ZONE, Machine
 from .pools import PoolKey
 
 TOMBSTONE_S = 900.0
@@ -41,7 +41,7 @@
         """The machine that a record names; a new one has no type and zone before it reports."""
         machine = self._cluster.machines.get(machine_id)
         if machine is None:
-            machine = self._enter(Machine(machine_id, UNKNOWN_TYPE, NOWHERE, False))
+            machine = self._enter(Machine(machine_id, UNKNOWN_TYPE, UNKNOWN_ZONE, False))
         return machine
 
     def enter_rented(self, pool: PoolKey, machine_id: MachineId) -> None:
--- a/src/crosscleat/core/capacity/unplaced_work.py
+++ b/src/crosscleat/core/capacity/unplaced_work.py
@@ -13,7 +13,7 @@
 
 from ..model.deployment import TeamLimits
 from ..model.ids import JobRef, MachineId, Team, Zone
-from ..model.quantities import ROUNDING
+from ..model.quantities import ROUNDING_TOLERANCE
 from ..scheduling.free_capacity import FreeCapacity
 from ..scheduling.job_selection import fails_repeatedly
 from ..scheduling.quota import tasks_within_limits
@@ -75,7 +75,7 @@
     )
     counted = _WithinQuota(teams, use)
     capacity = _CapacityLeft(
-        machines, min((job.spec.cpus for job in waiting), default=0.0) - ROUNDING, work
+        machines, min((job.spec.cpus for job in waiting), default=0.0) - ROUNDING_TOLERANCE, work
     )
     for job in waiting:
         if fails_repeatedly(job):
@@ -172,8 +172,8 @@
     """Whether a task of the job may be there, GPUs aside: those are counted when it is taken."""
     spec = job.spec
     return (
-        spec.cpus <= free.cpus + ROUNDING
-        and spec.memory_gb <= free.memory_gb + ROUNDING
+        spec.cpus <= free.cpus + ROUNDING_TOLERANCE
+        and spec.memory_gb <= free.memory_gb + ROUNDING_TOLERANCE
         and free.machine.allows(spec)
         and free.machine.id not in job.failed_on
     )
--- a/src/crosscleat/core/control/gang_control.py
+++ b/src/crosscleat/core/control/gang_control.py
@@ -93,7 +93,12 @@
             return
         for allocation in list(machine.allocations.values()):
             job = self._jobs.get(allocation.task.job)
-            if job is not None and job.is_gang and not job.cancelled and not allocation.replaced:
+            if (
+                job is not None
+                and job.is_gang
+                and not job.cancelled
+                and not allocation.being_replaced
+            ):
                 self._evacuate(job, machine, allocation, machine.reclaim_at - now, now)
 
     def _evacuate(
@@ -102,14 +107,14 @@
         decision = respond_to_notice(
             job.spec,
             list(self._cluster.allocations_of(job)),
-            self._scorer.remaining_s(job) - job.progress.ran_s(now),
+            self._scorer.remaining_s(job) - job.progress.run_time_s(now),
             notice_s,
             self._term.deployment,
             now,
         )
         match decision:
             case InterruptionResponse.REPLACE:
-                allocation.replaced = True
+                allocation.being_replaced = True
                 self._attempts.stop(machine, allocation, 0.0)
             case InterruptionResponse.STOP_AND_SAVE:
                 self._attempts.stop_gang(job, job.spec.save_s)
--- a/src/crosscleat/core/control/heartbeat_processing.py
+++ b/src/crosscleat/core/control/heartbeat_processing.py
@@ -10,7 +10,7 @@
 from ..capacity.decommissioning import Decommissioner
 from ..capacity.machines import Machines
 from ..election.term import LeadingTerm
-from ..model.heartbeats import Heartbeat, unknown_words
+from ..model.heartbeats import Heartbeat, unknown_states_and_causes
 from ..state.cluster import ClusterState
 from ..state.machine import Machine
 from .attempts import Attempts
@@ -85,7 +85,8 @@
         before or after a loss of the worker's state: an old copy, or epochs that start again.
         """
         return (
-            heartbeat.heartbeat_id <= machine.heartbeat_id or heartbeat.token < machine.shown_token
+            heartbeat.heartbeat_id <= machine.heartbeat_id
+            or heartbeat.token < machine.reported_token
         )
 
     def apply(self, machine: Machine, heartbeat: Heartbeat, is_reply: bool) -> None:
@@ -122,7 +123,7 @@
             machine.heartbeat_sequence = heartbeat.heartbeat_id.sequence
         elif new_epoch:
             machine.heartbeat_sequence = 0
-        machine.shown_token = max(machine.shown_token, heartbeat.token)
+        machine.reported_token = max(machine.reported_token, heartbeat.token)
         if heartbeat.token >= self._term.began_token:
             # The worker has received something of this term: this is no copy from before it.
             machine.confirmed_in_term = True
@@ -147,7 +148,7 @@
 
     def _log_unknown_words(self, heartbeat: Heartbeat) -> None:
         """Log each word once: a later version of the workers may use more of them."""
-        unknown = unknown_words(heartbeat) - self._unknown_words
+        unknown = unknown_states_and_causes(heartbeat) - self._unknown_words
         if unknown and len(self._unknown_words) < MAX_UNKNOWN_WORDS:
             self._unknown_words |= unknown
             words = ", ".join(repr(word[:40]) for word in sorted(unknown)[:5])
--- a/src/crosscleat/core/control/heartbeat_receiver.py
+++ b/src/crosscleat/core/control/heartbeat_receiver.py
@@ -58,7 +58,7 @@
             # workers stopped waiting for the answers.
             machine.responses_unbroken_since = now
         machine.last_heartbeat_at = machine.last_response_at = now
-        shows_term = machine.shown_token >= self._term.began_token
+        shows_term = machine.reported_token >= self._term.began_token
         machine.last_possible_renewal = (
             now if shows_term else max(machine.last_possible_renewal, now)
         )
--- a/src/crosscleat/core/control/liveness.py
+++ b/src/crosscleat/core/control/liveness.py
@@ -57,7 +57,7 @@
         self._election = election
         self._contact = contact
         self._responses = responses
-        self.silent_s = deployment.silent_s
+        self.silent_s = deployment.heartbeat_timeout_s
         """After so long without a heartbeat a machine is given up."""
         self.quiet_s = 1.5 * deployment.heartbeat_interval_s + 1.0
         """After so long without a heartbeat a machine has missed one."""
--- a/src/crosscleat/core/control/orders.py
+++ b/src/crosscleat/core/control/orders.py
@@ -43,7 +43,7 @@
                     orders.append(
                         StopOrder(str(allocation.task), allocation.attempt, allocation.grace_s)
                     )
-                elif machine.shown_token <= machine.direct.pending_start_token:
+                elif machine.reported_token <= machine.direct.pending_start_token:
                     self._want_rotation(machine)
             elif may_start and self._is_startable(machine, allocation):
                 orders.append(StartOrder(str(allocation.task), allocation.attempt))
@@ -90,7 +90,7 @@
         # is done can be started again without harm.
         harmless = machine.exited[key] == heartbeats.DONE
         repeated = NO_TOKEN if harmless else machine.direct.starts.get(key, NO_TOKEN)
-        if machine.shown_token <= max(machine.direct.pending_start_token, repeated):
+        if machine.reported_token <= max(machine.direct.pending_start_token, repeated):
             self._want_rotation(machine)
             return False
         task, attempt = key
@@ -101,5 +101,5 @@
         return chunk is None or (task.number, attempt, machine.id) not in chunk.recorded
 
     def _want_rotation(self, machine: Machine) -> None:
-        if machine.shown_token >= self._term.began_token:
+        if machine.reported_token >= self._term.began_token:
             self._pending.rotation_wanted = True
--- a/src/crosscleat/core/control/response_check.py
+++ b/src/crosscleat/core/control/response_check.py
@@ -88,7 +88,7 @@
         elif machine.unresponsive_since is None:
             machine.unresponsive_since = now
         elif (
-            now - machine.unresponsive_since > self._deployment.silent_s
+            now - machine.unresponsive_since > self._deployment.heartbeat_timeout_s
             and not self._has_common_cause(self._unresponsive)
         ):
             self._decommissioner.decommission(machine, "does not carry out orders")
--- a/src/crosscleat/core/control/retries.py
+++ b/src/crosscleat/core/control/retries.py
@@ -69,7 +69,7 @@
             self._term.outbox.log(
                 "info", f"machine {machine.id}: several jobs fail on it, draining"
             )
-        if failures == 1 and job.succeeded:
+        if failures == 1 and job.has_completed_task:
             return 0.0
         return min(MAX_FAILED_PAUSE_S, 0.5 * 2.0**failures)
 
--- a/src/crosscleat/core/control/worker_contact.py
+++ b/src/crosscleat/core/control/worker_contact.py
@@ -97,7 +97,7 @@
         return (
             self._ticks_without_heartbeat >= MIN_TICKS
             and up > 1
-            and now - self._heartbeat_received_at > self._deployment.silent_s
+            and now - self._heartbeat_received_at > self._deployment.heartbeat_timeout_s
         )
 
     def _is_cut_off(self, machines: list[Machine], now: Seconds) -> bool:
--- a/src/crosscleat/core/control/writer.py
+++ b/src/crosscleat/core/control/writer.py
@@ -158,10 +158,12 @@
             if machine.decommissioning and not machine.decommission_recorded
         ]
         if unrecorded and batch.has_capacity(1, 1):
-            batch.decommission_record, names_left = self._decommission_records.with_capacity()
+            batch.decommission_record, names_left = (
+                self._decommission_records.record_with_capacity()
+            )
             batch.decommissioned = unrecorded[: min(names_left, MAX_DECOMMISSIONS)]
             batch.put(
-                batch.decommission_record.put(machine.id for machine in batch.decommissioned),
+                batch.decommission_record.put_with(machine.id for machine in batch.decommissioned),
                 batch.decommission_record.version,
             )
 
@@ -203,7 +205,7 @@
             machine.decommission_recorded = True
         if batch.decommission_record is not None:
             batch.decommission_record.version = revision
-            batch.decommission_record.names.update(
+            batch.decommission_record.machine_ids.update(
                 (machine.id, None) for machine in batch.decommissioned
             )
         for record in batch.placement_records:
--- a/src/crosscleat/core/model/cloud.py
+++ b/src/crosscleat/core/model/cloud.py
@@ -1,4 +1,4 @@
-"""Machine types and machines as the cloud describes them."""
+"""Machine types and machines as the cloud API describes them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .job_spec import JobSpec
 
 HOUR_S = 3600.0
-"""Prices are per hour."""
+"""Seconds in an hour, the unit of time of prices."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
     zones: tuple[Zone, ...]
 
     def price_for(self, spot: bool) -> float:
-        """Price per hour on the spot market or not."""
+        """Return the price per hour of a spot machine or an on-demand machine."""
         return self.spot_price if spot else self.price
 
     def has_capacity_for(self, job: JobSpec) -> bool:
@@ -44,7 +44,7 @@
 
 
 class ListedMachine(msgspec.Struct, frozen=True):
-    """A machine as the cloud's list shows it, some seconds late."""
+    """A machine in the cloud's machine list, which lags by some seconds."""
 
     id: MachineId
     address: str
--- a/src/crosscleat/core/model/cloud_calls.py
+++ b/src/crosscleat/core/model/cloud_calls.py
@@ -10,37 +10,37 @@
 
 
 class ListTypes(msgspec.Struct, frozen=True):
-    """Read the machine types with their present prices; None: the cloud did not answer."""
+    """Read the machine types with their current prices; the result is None without an answer."""
 
     continuation: Callable[[list[MachineType] | None], None]
 
 
 class ListMachines(msgspec.Struct, frozen=True):
-    """Read the whole machine list; None: the cloud did not answer."""
+    """Read the whole machine list; the result is None without an answer."""
 
     continuation: Callable[[list[ListedMachine] | None], None]
 
 
 class Rented(msgspec.Struct, frozen=True):
-    """The cloud rented machines, perhaps fewer than it was asked for."""
+    """The cloud rented machines, possibly fewer than requested."""
 
     machines: list[str]
 
 
 class RentalRefused(msgspec.Struct, frozen=True):
-    """The cloud rented nothing: the pool has no capacity, or the request was malformed."""
+    """The cloud rented no machines: the pool has no capacity, or the request was malformed."""
 
 
 class RentalUnanswered(msgspec.Struct, frozen=True):
-    """No readable answer: whether machines were rented is unknown, and the call may be repeated."""
+    """No readable answer: machines may have been rented, and the call may be retried."""
 
 
 RentalOutcome = Rented | RentalRefused | RentalUnanswered
-"""The outcomes of a rental."""
+"""Possible outcomes of a rental."""
 
 
 class Rent(msgspec.Struct, frozen=True):
-    """Rent machines; a repeat under the same name rents nothing more."""
+    """Rent machines; `name` is the idempotency key: a retry with it rents no further machines."""
 
     name: str
     type: str
@@ -51,8 +51,8 @@
 
 
 class DeleteMachines(msgspec.Struct, frozen=True):
-    """Return machines for good."""
+    """Delete machines permanently."""
 
     machines: tuple[str, ...]
     continuation: Callable[[bool], None]
-    """True: the cloud confirmed it."""
+    """Called with True if the cloud confirmed the deletion."""
--- a/src/crosscleat/core/model/deployment.py
+++ b/src/crosscleat/core/model/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment: teams and their limits, objectives, tuning options and store limits."""
+"""Settings of the deployment: team limits, objectives, tuning options and store limits."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TeamLimits(msgspec.Struct, frozen=True):
-    """What a team is guaranteed, and what it may use at most; a maximum of 0 means no limit."""
+    """A team's guaranteed and maximum CPUs and GPUs; a maximum of 0 means no limit."""
 
     name: Team
     cpus: float
@@ -30,9 +30,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TuningOptions:
-    """What operators may tune; the defaults are the ones measured in docs/design.md.
+    """Options that operators may tune; docs/design.md has the measurements behind the defaults.
 
-    The names are those of the flags and variables; `cli` describes each.
+    Field names are the names of the flags and environment variables; `cli` describes each.
     """
 
     weight: float = 0.5
@@ -52,32 +52,35 @@
 
     member: Member
     members: tuple[Member, ...]
-    """All controllers, this one included, in the same order on each of them."""
+    """All controllers including this one, in the same order on each of them."""
     teams: dict[Team, TeamLimits]
     objectives: tuple[Objective, ...]
     heartbeat_interval_s: float
-    """A worker's pause between heartbeats."""
+    """Time between two heartbeats of a worker."""
     lease_s: float
-    """A worker without a response for so long ends its tasks."""
+    """A worker that has received no response for this long ends its tasks."""
     cancel_s: float
-    """Seconds within which an accepted cancellation must have stopped the job's tasks."""
+    """Seconds within which an accepted cancellation must stop the job's tasks."""
     gang_wait_s: float
-    """How long a gang's tasks wait for the last of them."""
+    """Maximum time in seconds that the tasks of a gang wait for the last of them."""
     gang_peer_s: float
-    """Seconds within which a stop must reach all tasks of a gang if it is to save."""
+    """Seconds within which a stop must reach all tasks of a gang so that it saves its progress."""
     value_kb: float
-    """KiB per value: the state service's lower limit of now and later."""
+    """Maximum KiB per value: the lower of the store's current and upcoming limits."""
     txn_ops: int
-    """Writes per transaction: the state service's lower limit of now and later (`state.next`)."""
+    """Maximum writes per transaction: the lower of the current and upcoming limits.
+
+    The upcoming limits are `state.next` in the settings.
+    """
     tuning: TuningOptions = msgspec.field(default_factory=TuningOptions)
 
     @property
-    def silent_s(self) -> float:
+    def heartbeat_timeout_s(self) -> float:
         """Seconds without a heartbeat after which a machine is deleted."""
         return self.tuning.silence_leases * self.lease_s
 
     def objective_limits(self, kind: str, job_class: str) -> tuple[float, ...]:
-        """The time limits of the objectives of this kind for a class, in seconds."""
+        """Return the time limits in seconds of the objectives of this kind for a job class."""
         return tuple(
             objective.within_s
             for objective in self.objectives
@@ -88,7 +91,7 @@
 
 
 def team_limit_admits(job: JobSpec, limits: TeamLimits) -> bool:
-    """Whether the team's limit admits the tasks that must run at once: a gang's all, else one."""
+    """Whether the team's limits allow the tasks that must run at once: all of a gang, else one."""
     at_once = job.tasks if job.shape is Shape.GANG else 1
     return (limits.cpus_max <= 0 or at_once * job.cpus <= limits.cpus_max) and (
         job.gpus <= 0 or limits.gpus_max <= 0 or at_once * job.gpus <= limits.gpus_max
@@ -102,5 +105,5 @@
 
 
 def is_backfill(job: JobSpec, teams: dict[Team, TeamLimits]) -> bool:
-    """Whether it only uses capacity that others leave idle: low priority and no guarantee."""
+    """Whether the job only uses capacity that others leave idle: low priority and no guarantee."""
     return job.priority is Priority.LOW and not has_guarantee(job.team, teams)
--- a/src/crosscleat/core/model/effects.py
+++ b/src/crosscleat/core/model/effects.py
@@ -1,7 +1,7 @@
-"""The effects of a controller's step: calls, answers to requests, and messages to peers.
+"""The effects of a controller's step: calls, responses to requests, and messages to peers.
 
-A call has a continuation, which the controller runs inside a later step with the call's result.
-Whoever carries effects out decides nothing.
+A call has a continuation, which the controller runs in a later step with the call's result. The
+code that carries out effects makes no decisions.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Response(msgspec.Struct, frozen=True):
-    """The answer to one user's request: an HTTP status and a body, or none."""
+    """The response to a user's request: an HTTP status and an optional body."""
 
     request: int
     status: int
@@ -35,20 +35,20 @@
 
 
 class Delay(msgspec.Struct, frozen=True):
-    """Run the continuation in a step after this many seconds."""
+    """Run the continuation in a step after a delay."""
 
     delay_s: float
     continuation: Callable[[], None]
 
 
 class BroadcastProgress(msgspec.Struct, frozen=True):
-    """Tell all other controllers the numbers of done and running tasks, by job."""
+    """Send the numbers of done and running tasks by job to all other controllers."""
 
     counts: dict[str, tuple[int, int]]
 
 
 class ShardRequest(msgspec.Struct, frozen=True):
-    """Ask a shard owner to plan its shard of a full cycle."""
+    """Ask another controller, as a shard owner, to plan its shard of a full scheduling cycle."""
 
     member: str
     view: ShardView
@@ -62,7 +62,7 @@
 
 
 class LogRecord(msgspec.Struct, frozen=True):
-    """A line for the log."""
+    """A line to be logged."""
 
     level: str
     text: str
@@ -101,14 +101,14 @@
         self.effects: list[Effect] = []
 
     def add(self, effect: Effect) -> None:
-        """Have the effect carried out after the step."""
+        """Add an effect, which is carried out after the step."""
         self.effects.append(effect)
 
     def log(self, level: str, text: str) -> None:
-        """Log a line."""
+        """Add a line to be logged."""
         self.effects.append(LogRecord(level, text))
 
     def take(self) -> list[Effect]:
-        """Remove and return the effects so far, in order."""
+        """Remove and return the collected effects in order."""
         effects, self.effects = self.effects, []
         return effects
--- a/src/crosscleat/core/model/errors.py
+++ b/src/crosscleat/core/model/errors.py
@@ -1,9 +1,9 @@
-"""The base of all errors that this program raises itself.
+"""The base class of the errors that this program raises.
 
-It stands in the lowest layer, since messages, settings, adapters and the core may all derive
+It is in the lowest layer because the wire formats, settings, adapters and the core may all derive
 errors from it.
 """
 
 
 class CrosscleatError(Exception):
-    """Something went wrong that this program knows of; the text says what, and with what."""
+    """Base class of expected errors; the text says what went wrong, and with which value."""
--- a/src/crosscleat/core/model/heartbeats.py
+++ b/src/crosscleat/core/model/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of workers, and the states and causes of tasks in them."""
+"""Heartbeats of workers, and the task states and exit causes in them."""
 
 from __future__ import annotations
 
@@ -7,40 +7,40 @@
 from .ids import Attempt, HeartbeatId, MachineId, TaskId, TypeName, Zone
 
 EXITED = "exited"
-"""The state of an attempt that has ended, with a cause."""
+"""State of an attempt that has ended; it has a cause."""
 
 RUNNING = "running"
-"""The state of a task that makes progress."""
+"""State of a task that makes progress."""
 
 FETCHING = "fetching"
-"""The state of a task whose image is being fetched."""
+"""State of a task whose image is being fetched."""
 
 WAITING = "waiting"
-"""The state of a gang's task that has its image and waits for the others."""
+"""State of a gang's task that has its image and waits for the others."""
 
 SAVING = "saving"
-"""The state of a stopped task that saves its progress."""
+"""State of a stopped task that saves its progress."""
 
 STATES = frozenset((EXITED, RUNNING, FETCHING, WAITING, SAVING))
-"""The states that this version knows."""
+"""Task states known to this version."""
 
 DONE = "done"
-"""The cause of the end of a completed task."""
+"""Exit cause of a completed task."""
 
 STOPPED = "stopped"
-"""The cause of the end of a task that was stopped by an order."""
+"""Exit cause of a task that was stopped by an order."""
 
 ERROR = "error"
-"""The cause of the end of a task that failed."""
+"""Exit cause of a task that failed."""
 
 NO_CAPACITY = "no_room"
-"""The cause of the end of a start that the worker refused for lack of capacity."""
+"""Exit cause of an attempt whose start the worker refused for lack of capacity."""
 
 GANG_MEMBER_LOST = "mates_gone"
-"""The cause of a task's end when another task of the running gang was lost."""
+"""Exit cause of a task when another task of its running gang was lost."""
 
 INCOMPLETE = "incomplete"
-"""The cause of a task's end when its gang was not complete in time."""
+"""Exit cause of a task whose gang was not complete in time."""
 
 CAUSES = frozenset(
     (DONE, STOPPED, ERROR, NO_CAPACITY, "busy", "no_such", GANG_MEMBER_LOST, INCOMPLETE)
@@ -48,20 +48,20 @@
 
 
 class TaskStatus(msgspec.Struct, frozen=True):
-    """One attempt of a task in a worker's heartbeat."""
+    """The status of one attempt in a worker's heartbeat."""
 
     task: TaskId
     attempt: Attempt
     state: str
-    """One of `STATES`, unless the worker is of a later version."""
+    """One of `STATES`, unless the worker has a later version."""
     cause: str | None
-    """Why it exited: one of `CAUSES`, unless the worker is of a later version."""
+    """Why it exited: one of `CAUSES`, unless the worker has a later version."""
     saved: bool = False
-    """It exited after it had saved its progress."""
+    """Whether it saved its progress before it exited."""
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """What a worker reports of itself and its tasks, and how new that is."""
+    """A worker's report of its own state and its tasks; `heartbeat_id` shows which one is newer."""
 
     machine: MachineId
     address: str
@@ -76,8 +76,8 @@
     tasks: tuple[TaskStatus, ...]
 
 
-def unknown_words(heartbeat: Heartbeat) -> set[str]:
-    """States and causes in the heartbeat that this version does not know."""
+def unknown_states_and_causes(heartbeat: Heartbeat) -> set[str]:
+    """Return the task states and causes in the heartbeat that are unknown to this version."""
     states = {task.state for task in heartbeat.tasks} - STATES
     causes = {task.cause for task in heartbeat.tasks if task.cause is not None} - CAUSES
     return states | causes
--- a/src/crosscleat/core/model/ids.py
+++ b/src/crosscleat/core/model/ids.py
@@ -1,4 +1,4 @@
-"""Small types for names, versions and times, so that none is mistaken for another."""
+"""Distinct types for ids, versions and times, so that the type checker finds mix-ups."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from typing import NamedTuple, NewType
 
 JobRef = NewType("JobRef", str)
-"""Id of a job, as `job-000412`."""
+"""Id of a job, such as `job-000412`."""
 
 MachineId = NewType("MachineId", str)
-"""Id of a machine, as the cloud gives it."""
+"""Id of a machine, assigned by the cloud."""
 
 TypeName = NewType("TypeName", str)
 """Name of a machine type."""
@@ -30,28 +30,28 @@
 """Revision of a key's last change in the store; 0 means that the key does not exist."""
 
 Token = NewType("Token", int)
-"""Fencing token, the version of the leader key: workers obey the highest that they have seen."""
+"""Fencing token: the version of the leader key. Workers refuse lower ones than they have seen."""
 
 Attempt = NewType("Attempt", int)
-"""Number of an attempt of a task, from 1."""
+"""Number of an attempt of a task, starting at 1."""
 
 AgentEpoch = NewType("AgentEpoch", int)
-"""Incarnation of a worker: it rises when its lease expires, which ends all its tasks."""
+"""Incarnation number of a worker; it increases when its lease expires, which ends all its tasks."""
 
 LeaseId = NewType("LeaseId", int)
-"""Id of a lease of the store."""
+"""Id of a lease in the store."""
 
 Seconds = NewType("Seconds", float)
-"""Seconds of this process's steady clock: a point in time."""
+"""A point in time on this process's monotonic clock, in seconds."""
 
 WallTime = NewType("WallTime", float)
-"""Seconds since 1970."""
+"""A point in time on the wall clock, in seconds since 1970."""
 
 _JOB_REF = re.compile(r"job-[0-9A-Za-z._-]{1,120}\Z")
 
 
 class TaskId(NamedTuple):
-    """One task of a job; written `job-000412/3` outside."""
+    """One task of a job; its text form is `job-000412/3`."""
 
     job: JobRef
     number: int
@@ -61,7 +61,7 @@
 
     @classmethod
     def parse(cls, text: str) -> TaskId | None:
-        """Read `job-000412/3`; None if it is malformed."""
+        """Parse the text form, such as `job-000412/3`; returns None if it is malformed."""
         job, slash, number = text.rpartition("/")
         if not slash or not number.isascii() or not number.isdigit() or not is_job_ref(job):
             return None
@@ -69,14 +69,14 @@
 
 
 class HeartbeatId(NamedTuple):
-    """Identity and age of a worker's status: the larger one is newer."""
+    """Identifies a worker's status; a larger one is newer."""
 
     agent_epoch: AgentEpoch
     sequence: int
 
 
 NO_HEARTBEAT = HeartbeatId(AgentEpoch(0), 0)
-"""Older than every heartbeat."""
+"""Lower than the id of every heartbeat."""
 
 LONG_AGO = Seconds(0.0)
 """A point in time before any event of this process."""
--- a/src/crosscleat/core/model/inputs.py
+++ b/src/crosscleat/core/model/inputs.py
@@ -1,4 +1,4 @@
-"""The inputs of a controller's step: time, results of calls, requests and peers' messages."""
+"""The inputs of a controller's step: ticks, results of calls, requests and messages from peers."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class Tick(msgspec.Struct, frozen=True):
-    """A tenth of a second has passed."""
+    """Sent every tenth of a second."""
 
 
 class Started(msgspec.Struct, frozen=True):
-    """The process has started; the first input."""
+    """The process has started; this is the first input."""
 
 
 class CallCompleted(msgspec.Struct, frozen=True):
-    """A call's result, or the end of a delay: run its continuation."""
+    """A call has a result, or a delay has ended; its continuation is run with `results`."""
 
     continuation: Callable[..., None]
     results: tuple[Any, ...] = ()
@@ -36,7 +36,7 @@
 
 
 class RejectJob(msgspec.Struct, frozen=True):
-    """A submission that is malformed, with its job's name if that much is readable."""
+    """A user submits a malformed job; `ref` is its id if that is readable."""
 
     request: int
     ref: JobRef | None
@@ -44,7 +44,7 @@
 
 
 class QueryJob(msgspec.Struct, frozen=True):
-    """A user asks about a job."""
+    """A user queries the status of a job."""
 
     request: int
     ref: JobRef
@@ -58,7 +58,7 @@
 
 
 class HeartbeatReceived(msgspec.Struct, frozen=True):
-    """A heartbeat that a worker sent here, or that another controller relayed."""
+    """A heartbeat from a worker, received directly or relayed by another controller."""
 
     request: int
     heartbeat: Heartbeat
@@ -66,19 +66,19 @@
 
 
 class ProbeReply(msgspec.Struct, frozen=True):
-    """The status of a worker, from another controller that this one asked to probe it."""
+    """The status of a worker, sent by another controller that was asked to probe it."""
 
     heartbeat: Heartbeat
 
 
 class ProgressReceived(msgspec.Struct, frozen=True):
-    """The leader's numbers of done and running tasks by job, for display."""
+    """The numbers of done and running tasks by job, sent by the leader for display to users."""
 
     counts: dict[str, tuple[int, int]]
 
 
 class ShardRequested(msgspec.Struct, frozen=True):
-    """A leader asks this controller to plan its shard of a full cycle."""
+    """A leader asks this controller to plan its shard of a full scheduling cycle."""
 
     member: Member
     view: ShardView
@@ -92,7 +92,7 @@
 
 
 class PeerUnreachable(msgspec.Struct, frozen=True):
-    """A peer's link closed and its address refuses connections: its process may have ended."""
+    """A peer's connection closed and its address refuses new ones: its process may have ended."""
 
     member: Member
 
--- a/src/crosscleat/core/model/job_spec.py
+++ b/src/crosscleat/core/model/job_spec.py
@@ -1,4 +1,4 @@
-"""Jobs as their users described them."""
+"""The specification of a job, as its user submitted it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Priority(enum.IntEnum):
-    """Order of precedence of jobs."""
+    """Priority of a job; a higher value takes precedence."""
 
     LOW = 0
     NORMAL = 1
@@ -20,19 +20,22 @@
 
 
 class Shape(enum.IntEnum):
-    """How the tasks of a job belong together."""
+    """How the tasks of a job depend on each other."""
 
     ARRAY = 0
-    """Independent tasks, each runs to completion."""
+    """Independent tasks, each of which runs to completion."""
     GANG = 1
-    """Tasks that run together or not at all."""
+    """Tasks that only run all together."""
     SERVICE = 2
-    """On no page, but the bench submits one and expects it to run (`docs/questions.md`); its tasks
-    are run as those of an array."""
+    """Tasks that are run like those of an array.
+
+    The specification does not mention this shape, but the benchmark submits such a job and expects
+    it to run (`docs/questions.md`).
+    """
 
 
 class JobSpec(msgspec.Struct, array_like=True, frozen=True):
-    """A job as its user described it. Kept in the store in this order of fields."""
+    """The specification of a job; it is stored as an array in this order of fields."""
 
     ref: JobRef
     job_class: str
@@ -55,6 +58,6 @@
     deadline_s: float | None
     shape: Shape = Shape.ARRAY
 
-    def per_zone(self) -> int:
-        """How many of the tasks may be in one zone at a time."""
+    def max_per_zone(self) -> int:
+        """Maximum number of the job's tasks that may be in one zone at a time."""
         return math.ceil(self.tasks / 2) if self.spread else self.tasks
--- a/src/crosscleat/core/model/quantities.py
+++ b/src/crosscleat/core/model/quantities.py
@@ -2,5 +2,5 @@
 
 from __future__ import annotations
 
-ROUNDING = 1e-9
-"""By how much a sum may exceed a limit through rounding alone."""
+ROUNDING_TOLERANCE = 1e-9
+"""A sum may exceed a limit by this much, since rounding errors can cause it."""
--- a/src/crosscleat/core/model/shards.py
+++ b/src/crosscleat/core/model/shards.py
@@ -1,4 +1,4 @@
-"""What the leader sends a shard owner to plan, and what the owner proposes."""
+"""The data that the leader sends to a shard owner for planning, and the owner's proposal."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class JobView(msgspec.Struct, array_like=True, frozen=True):
-    """What a shard owner needs to know of a waiting job."""
+    """The state of a waiting job, as far as a shard owner needs it."""
 
     spec: JobSpec
     age_s: float
-    """Since the job was submitted."""
+    """Seconds since the job was submitted."""
     waiting_tasks: int
     failed_on: tuple[MachineId, ...]
     zones: dict[Zone, int]
@@ -21,7 +21,7 @@
 
 
 class MachineView(msgspec.Struct, array_like=True, frozen=True):
-    """What a shard owner needs to know of a machine with free capacity."""
+    """The state of a machine with free capacity, as far as a shard owner needs it."""
 
     machine: MachineId
     type: TypeName
@@ -31,19 +31,19 @@
     used_gpus: float
     used_memory: float
     images: dict[Image, float]
-    """Images that it has or fetches, with the seconds until they are present."""
+    """Images that it has or is fetching, with the seconds until each is present."""
     reservation: tuple[JobRef, Priority, float] | None
-    """For which job it is emptied: its reference, its priority and its age in seconds."""
+    """The job for which it is being emptied: its id, its priority and its age in seconds."""
 
 
 class ShardView(msgspec.Struct, array_like=True, frozen=True):
-    """What a shard owner needs to plan its shard."""
+    """The data that a shard owner needs to plan its shard."""
 
     number: int
     jobs: tuple[JobView, ...]
     machines: tuple[MachineView, ...]
     shares: dict[Team, tuple[float, float]]
-    """CPUs and GPUs that the shard may use of each team's limit; a team left out has none."""
+    """CPUs and GPUs of each team's limit that the shard may use; a missing team has none."""
     reserve: float
     estimate_factors: dict[str, float]
     """Measured run time as a multiple of the estimate, by job class."""
--- a/src/crosscleat/core/model/store_calls.py
+++ b/src/crosscleat/core/model/store_calls.py
@@ -10,11 +10,11 @@
 from .ids import LeaseId, Version
 
 Record = Any
-"""Plain data as the store keeps it: maps, lists, text, numbers."""
+"""Plain data, as it is stored: maps, lists, strings and numbers."""
 
 
 class Item(msgspec.Struct, frozen=True):
-    """A key of the store with its value and version."""
+    """A key in the store with its value and version."""
 
     key: str
     value: Record
@@ -22,7 +22,7 @@
 
 
 class Put(msgspec.Struct, frozen=True):
-    """Write a key; one under a lease goes away with it."""
+    """Write a key; with a lease, the key is removed when the lease ends."""
 
     key: str
     value: Record
@@ -36,9 +36,9 @@
 
 
 class Unanswered(msgspec.Struct, frozen=True):
-    """The store gave no answer in time, or none that could be read.
+    """The store gave no readable answer in time.
 
-    What was to be written or renewed was perhaps carried out, or will be later.
+    A write or renewal may have been carried out, or may be carried out later.
     """
 
 
@@ -49,66 +49,69 @@
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """Compare-and-swap failed: the keys in `failed` had other versions, nothing was written."""
+    """Compare-and-swap failed: the keys in `failed` had other versions; nothing was written."""
 
     failed: frozenset[str]
     repeated: bool
-    """An earlier try of the same request may have been the one that changed the keys."""
+    """Whether an earlier attempt of the same request may have changed the keys."""
 
 
 class NoSuchLease(msgspec.Struct, frozen=True):
-    """The lease had ended; nothing was written."""
+    """The lease had already ended; nothing was written."""
 
 
 class LeaseRenewed(msgspec.Struct, frozen=True):
-    """The lease has its full life again."""
+    """The lease was renewed for its full time to live."""
 
 
 CommitOutcome = Committed | Conflict | NoSuchLease | Unanswered
-"""The outcomes of a compare-and-swap."""
+"""Possible outcomes of a compare-and-swap."""
 RenewalOutcome = LeaseRenewed | NoSuchLease | Unanswered
-"""The outcomes of a lease renewal."""
+"""Possible outcomes of a lease renewal."""
 
 
 class ReadResult(msgspec.Struct, frozen=True):
-    """A key as it was at the revision; `item` is None if it does not exist."""
+    """A key as of the revision; `item` is None if it does not exist."""
 
     item: Item | None
     revision: Version
 
 
 class ScanResult(msgspec.Struct, frozen=True):
-    """All keys with a prefix as they were at the revision."""
+    """All keys with a prefix as of the revision."""
 
     items: list[Item]
     revision: Version
 
 
 class WatchResult(msgspec.Struct, frozen=True):
-    """Changes after a revision; a version of 0 marks a removed key."""
+    """The changes after a revision, up to `revision`; a version of 0 marks a removed key."""
 
     revision: Version
     changes: list[Item]
 
 
 class ChangesLost(msgspec.Struct, frozen=True):
-    """The store no longer has all changes after that revision: the keys must be read again."""
+    """The store no longer has all changes after that revision; the keys must be read again."""
 
 
 WatchOutcome = WatchResult | ChangesLost | Unanswered
-"""The outcomes of a watch."""
+"""Possible outcomes of a watch."""
 
 
 class Commit(msgspec.Struct, frozen=True):
-    """A compare-and-swap: all writes are carried out if all keys have these versions."""
+    """A compare-and-swap: all writes are carried out if all keys have the given versions."""
 
     conditions: tuple[tuple[str, Version], ...]
     writes: tuple[Put | Remove, ...]
     continuation: Callable[[CommitOutcome], None]
     timeout_s: float = 2.0
-    """How long it is repeated while the store does not decide."""
+    """How long it is retried while its outcome is unknown."""
     for_user: bool = False
-    """A user waits: it may share a transaction with others, and fails at once in an outage."""
+    """Whether a user waits for it.
+
+    It may then share a transaction with others, and fails immediately during an outage.
+    """
 
 
 class Read(msgspec.Struct, frozen=True):
@@ -129,7 +132,7 @@
 
 
 class Watch(msgspec.Struct, frozen=True):
-    """Wait for changes below the prefix after a revision, up to `block_s`."""
+    """Wait up to `block_s` seconds for changes to keys with the prefix after a revision."""
 
     prefix: str
     after: Version
@@ -139,9 +142,9 @@
 
 
 class GrantLease(msgspec.Struct, frozen=True):
-    """Ask for a lease of `life_s` seconds."""
+    """Request a lease with a time to live of `ttl_s` seconds."""
 
-    life_s: float
+    ttl_s: float
     continuation: Callable[[LeaseId | Unanswered], None]
 
 
@@ -153,6 +156,6 @@
 
 
 class RevokeLease(msgspec.Struct, frozen=True):
-    """End a lease at once."""
+    """End a lease immediately."""
 
     lease: LeaseId
--- a/src/crosscleat/core/model/worker_calls.py
+++ b/src/crosscleat/core/model/worker_calls.py
@@ -1,4 +1,4 @@
-"""Orders to workers, in the responses to their heartbeats and in direct commands."""
+"""Orders to workers, sent in responses to their heartbeats and in direct commands."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class StopOrder(msgspec.Struct, frozen=True):
-    """Stop an attempt, which may save its progress for `grace_s` seconds."""
+    """Stop an attempt, which has `grace_s` seconds to save its progress."""
 
     task: str
     attempt: int
@@ -33,20 +33,20 @@
 
 
 Order = StartOrder | StopOrder | ClearOrder
-"""What a worker is to do with one attempt."""
+"""An instruction to a worker about one attempt."""
 
 
 class DirectReply(msgspec.Struct, frozen=True):
-    """The outcome of a message sent straight to a worker."""
+    """The outcome of a direct command to a worker."""
 
     heartbeat: Heartbeat | None
-    """The worker's status; None: it sent none that could be read."""
+    """The worker's status, or None if it sent no readable one."""
     may_execute: bool
-    """Whether the orders were, or may still be, carried out."""
+    """Whether the orders were carried out or may still be."""
 
 
 class DirectCommand(msgspec.Struct, frozen=True):
-    """Send orders straight to a worker; without orders, ask for its status."""
+    """Send orders directly to a worker; without orders, it only requests the worker's status."""
 
     address: str
     token: Token
@@ -64,7 +64,7 @@
 
 
 class HeartbeatResponse(msgspec.Struct, frozen=True):
-    """The answer to one heartbeat."""
+    """The response to a heartbeat."""
 
     request: int
     token: Token
--- a/src/crosscleat/core/scheduling/free_capacity.py
+++ b/src/crosscleat/core/scheduling/free_capacity.py
@@ -9,7 +9,7 @@
 from ..model.cloud import MachineType
 from ..model.ids import Zone
 from ..model.job_spec import JobSpec
-from ..model.quantities import ROUNDING
+from ..model.quantities import ROUNDING_TOLERANCE
 from ..state.machine import Machine
 from .assignments import Reservation
 
@@ -53,9 +53,9 @@
     def fits(self, spec: JobSpec) -> bool:
         """Whether one more task of the job fits."""
         return (
-            spec.cpus <= self.cpus + ROUNDING
-            and spec.memory_gb <= self.memory_gb + ROUNDING
-            and spec.gpus <= self.gpus + ROUNDING
+            spec.cpus <= self.cpus + ROUNDING_TOLERANCE
+            and spec.memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
+            and spec.gpus <= self.gpus + ROUNDING_TOLERANCE
         )
 
     def count_fitting(self, spec: JobSpec) -> int:
@@ -112,7 +112,7 @@
     smallest = min(
         (available / need for need, available in ratios if need > 0), default=UNBOUNDED_TASKS
     )
-    return int(smallest + ROUNDING)
+    return int(smallest + ROUNDING_TOLERANCE)
 
 
 def fetch_time(spec: JobSpec, machine_type: MachineType) -> float:
--- a/src/crosscleat/core/scheduling/gang_placement.py
+++ b/src/crosscleat/core/scheduling/gang_placement.py
@@ -12,7 +12,7 @@
 
 from ..model.deployment import Deployment
 from ..model.ids import Seconds, Zone
-from ..state.gangs import FETCH_SPREAD, start_delay_s
+from ..state.gangs import MAX_FETCH_TIME_FACTOR, start_delay_s
 from ..state.jobs import Job
 from .feasibility import Feasibility
 from .free_capacity import FreeCapacity, by_zone
@@ -50,14 +50,14 @@
 
         `ranked` are the candidates that the job may use, best first.
         """
-        return self._take_best(job, ranked, self._deployment.gang_wait_s / FETCH_SPREAD)
+        return self._take_best(job, ranked, self._deployment.gang_wait_s / MAX_FETCH_TIME_FACTOR)
 
     def complete(self, job: Job, ranked: list[FreeCapacity], left_s: float) -> list[FreeCapacity]:
         """Take places for its missing tasks that can start within `left_s`; or none."""
         in_time = [
             candidate
             for candidate in ranked
-            if self._start_s(job, candidate) * FETCH_SPREAD <= left_s
+            if self._start_s(job, candidate) * MAX_FETCH_TIME_FACTOR <= left_s
         ]
         return self._take_best(job, in_time, left_s)
 
--- a/src/crosscleat/core/scheduling/job_selection.py
+++ b/src/crosscleat/core/scheduling/job_selection.py
@@ -23,7 +23,7 @@
 
 def fails_repeatedly(job: Job) -> bool:
     """Whether the job has failed on several machines and succeeded on none."""
-    return not job.succeeded and len(job.failed_on) >= REPEATED_FAILURE_MACHINES
+    return not job.has_completed_task and len(job.failed_on) >= REPEATED_FAILURE_MACHINES
 
 
 class JobSelection:
--- a/src/crosscleat/core/scheduling/quota.py
+++ b/src/crosscleat/core/scheduling/quota.py
@@ -4,12 +4,12 @@
 
 from ..model.deployment import TeamLimits
 from ..model.job_spec import JobSpec
-from ..model.quantities import ROUNDING
+from ..model.quantities import ROUNDING_TOLERANCE
 
 
 def within_limit(amount: float, limit: float) -> bool:
     """Whether the amount keeps to the limit; a limit of 0 means that there is none."""
-    return limit <= 0 or amount <= limit + ROUNDING
+    return limit <= 0 or amount <= limit + ROUNDING_TOLERANCE
 
 
 def tasks_within_limit(spec: JobSpec, max_count: int, used_cpus: float, cpu_limit: float) -> int:
@@ -37,4 +37,4 @@
 def _count_within(need: float, max_count: int, used: float, limit: float) -> int:
     if limit <= 0 or need <= 0:
         return max_count
-    return min(max_count, max(0, int((limit - used) / need + ROUNDING)))
+    return min(max_count, max(0, int((limit - used) / need + ROUNDING_TOLERANCE)))
--- a/src/crosscleat/core/scheduling/ranking.py
+++ b/src/crosscleat/core/scheduling/ranking.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from ..model.ids import JobRef, Seconds, TypeName
-from ..model.quantities import ROUNDING
+from ..model.quantities import ROUNDING_TOLERANCE
 from ..state.jobs import Job
 from .feasibility import Feasibility
 from .free_capacity import FreeCapacity
@@ -33,7 +33,7 @@
 
     Most machines are full and stay out of the cycle: they are neither scored nor sampled.
     """
-    min_cpus = min(job.spec.cpus for job in waiting) - ROUNDING
+    min_cpus = min(job.spec.cpus for job in waiting) - ROUNDING_TOLERANCE
     found = [candidate for candidate in candidates if candidate.cpus >= min_cpus]
     for candidate in found:
         images = candidate.machine.images.ready_at.values()
--- a/src/crosscleat/core/scheduling/shard_planning.py
+++ b/src/crosscleat/core/scheduling/shard_planning.py
@@ -60,7 +60,7 @@
         Version(0),
         Seconds(now - view.age_s),
         first_untried=max(0, view.spec.tasks - view.waiting_tasks),
-        succeeded=True,
+        has_completed_task=True,
         failed_on=set(view.failed_on),
         at_risk=view.at_risk,
         # The leader decides by itself which jobs may use what is kept for others.
--- a/src/crosscleat/core/state/__init__.py
+++ b/src/crosscleat/core/state/__init__.py
@@ -1,12 +1,12 @@
-"""What a leader knows and what the store keeps of it: jobs, records, machines and allocations.
+"""The leader's state: jobs, machines and allocations in memory, and their records in the store.
 
-Owns the state of jobs, tasks, gangs and machines in memory, the records that keep it in the
-store, and the transactions that write them. May import: `model`.
+Owns the state of jobs, tasks, gangs and machines in memory, the records that persist it in
+the store, and the transactions that write them. May import: `model`.
 
-- Memory: `jobs` has jobs and their tasks, `gangs` the phases of a gang's attempt, `machine` the
-  machines with their `direct_channel` and `image_cache`, `allocations` what attempts take of them,
-  and `cluster` all allocations with the quota and zones in use.
-- Store: `keys` names the keys; `job_records`, `placement_records` (stored as `stored_placements`
-  describes) and `decommission_records` are the records; `batch` is the transaction that writes
-  them. The leader's own key is `election`'s.
+- Memory: `jobs` defines jobs and their tasks, `gangs` the phases of a gang's attempt, `machine` a
+  machine with its `direct_channel` and `image_cache`, `allocations` the resources that an attempt
+  reserves on a machine, and `cluster` all allocations with the quota and zones in use.
+- Store: `keys` defines the keys; `job_records`, `placement_records` (encoded as described in
+  `stored_placements`) and `decommission_records` define the records; `batch` is the transaction
+  that writes them. The `election` package manages the leader key itself.
 """
--- a/src/crosscleat/core/state/allocations.py
+++ b/src/crosscleat/core/state/allocations.py
@@ -1,4 +1,4 @@
-"""What one attempt reserves on a machine until it is proven to have ended."""
+"""The resources that one attempt reserves on a machine until it is proven to have ended."""
 
 from __future__ import annotations
 
@@ -16,12 +16,16 @@
 from ..model.job_spec import JobSpec
 
 AttemptKey = tuple[TaskId, Attempt]
-"""An attempt on one machine. The same attempt of a gang's task may be on two machines in turn."""
+"""Identifies an attempt among the allocations of one machine.
+
+It is not unique in the cluster: an attempt of a gang's task keeps its number when the task moves to
+another machine.
+"""
 
 
 @dataclass(slots=True)
 class Allocation:
-    """The capacity, quota and zone that one attempt takes until it is proven to have ended."""
+    """The capacity, quota and zone that one attempt uses until it is proven to have ended."""
 
     task: TaskId
     attempt: Attempt
@@ -30,25 +34,25 @@
     zone: Zone
     agent_epoch: AgentEpoch
     recorded: bool = False
-    """The store has the placement: a start may be sent."""
+    """The placement is in the store, so the start order may be sent."""
     in_last_heartbeat: bool = False
-    """The machine's newest heartbeat lists the attempt."""
+    """Whether the machine's newest heartbeat lists the attempt."""
     task_state: str = ""
-    """The state in the newest heartbeat that listed the attempt, as in `heartbeats.STATES`."""
+    """The state in the newest heartbeat that listed the attempt: one of `heartbeats.STATES`."""
     stopping: bool = False
-    """No start is sent any more, and a stop is sent while heartbeats list the attempt."""
-    replaced: bool = False
-    """Stopped alone: its gang waits until the task is placed on another machine."""
+    """Start orders are no longer sent; stop orders are sent while heartbeats list the attempt."""
+    being_replaced: bool = False
+    """Only this task of its gang is stopped; the gang waits for a replacement elsewhere."""
     grace_s: float = 0.0
-    """How long a stopped attempt may take to save its progress."""
+    """Time in seconds that a stopped attempt has to save its progress."""
     start_sent_at_sequence: int = 0
-    """Sequence of the last heartbeat whose response carried the start."""
+    """Sequence number of the last heartbeat whose response contained the start order."""
     start_sent: bool = False
-    """A start may have been sent, by this leader or an earlier one."""
+    """Whether this leader or an earlier one may have sent the start order."""
     placed_at: Seconds = LONG_AGO
     running_since: Seconds | None = None
 
     @property
     def key(self) -> AttemptKey:
-        """The key among the machine's allocations."""
+        """The key of this allocation in `Machine.allocations`."""
         return (self.task, self.attempt)
--- a/src/crosscleat/core/state/batch.py
+++ b/src/crosscleat/core/state/batch.py
@@ -1,4 +1,4 @@
-"""A transaction while it is composed: what it writes, and the versions that it compares."""
+"""Builds one store transaction: its writes and the key versions that it requires."""
 
 from __future__ import annotations
 
@@ -11,48 +11,53 @@
 from .machine import Machine
 from .placement_records import PlacementRecord
 
-MAX_BYTES = 48 * 1024
-"""Of placement records in one transaction: the limit for all of it is 64 KiB, and conditions and
-ends of jobs need the rest."""
+MAX_RECORD_BYTES = 48 * 1024
+"""Limit for the placement records in one transaction.
+
+A whole transaction may have 64 KiB; conditions and the records of ended jobs need the rest.
+"""
 
 
 class Batch:
-    """Writes, conditions and bytes of one transaction, within the limits of the store."""
+    """The writes and conditions of one transaction, kept within the limits of the store."""
 
     def __init__(self, token: int, max_writes: int) -> None:
-        """The transaction is carried out only if the leader key still has the version `token`."""
+        """Create a transaction on condition that the leader key still has the version `token`."""
         self.conditions: dict[str, Version] = {LEADER: Version(token)}
         self.writes: list[Put | Remove] = []
         self.decommissioned: list[Machine] = []
         self.decommission_record: DecommissionRecord | None = None
         self.compared_jobs: dict[Job, None] = {}
-        """Jobs whose live record is compared; the order is that of their conditions."""
+        """Jobs whose live record must be unchanged, in the order of their conditions."""
         self.ended_jobs: list[Job] = []
         self.placement_records: list[PlacementRecord] = []
         self.removed_records: list[PlacementRecord] = []
         self.chunks: list[tuple[Job, Chunk, frozenset[RecordedPlacement]]] = []
         self._max_writes = max_writes
         self._max_conditions = 4 * max_writes
-        self._bytes_left = MAX_BYTES
+        self._bytes_left = MAX_RECORD_BYTES
 
     def has_capacity(self, writes: int, conditions: int) -> bool:
-        """Whether so many more writes, and conditions besides theirs, are within the limits."""
+        """Whether the limits allow this many more writes and additional conditions.
+
+        Each write already counts as one condition.
+        """
         return (
             len(self.writes) + writes <= self._max_writes
             and len(self.conditions) + writes + conditions <= self._max_conditions
         )
 
-    def limit_writes(self, more: int) -> None:
-        """Admit at most so many writes from here on."""
-        self._max_writes = min(self._max_writes, len(self.writes) + more)
+    def limit_writes(self, count: int) -> None:
+        """Allow at most `count` more writes."""
+        self._max_writes = min(self._max_writes, len(self.writes) + count)
 
     def put(self, write: Put, version: Version) -> None:
-        """Write a value, if its key still has this version."""
+        """Write a value, on condition that its key still has this version."""
         self.conditions[write.key] = version
         self.writes.append(write)
 
     def remove(self, key: str, version: Version) -> None:
-        """Remove a key that still has this version."""
+        """Remove a key, on condition that it still has this version."""
         self.conditions[key] = version
         self.writes.append(Remove(key))
 
@@ -61,7 +66,7 @@
         self.compared_jobs[job] = None
 
     def end_job(self, job: Job) -> None:
-        """Replace the live record by the ended record, if the live one is as we know it."""
+        """Replace the job's live record by its ended record, if the live record is unchanged."""
         self._compare_job(job)
         record = ended_record(job.spec.tasks, cancelled=job.cancelled)
         self.writes.append(Put(ended_key(job.ref), record))
@@ -69,14 +74,17 @@
         self.ended_jobs.append(job)
 
     def add_record(self, record: PlacementRecord) -> None:
-        """Write the record if the limits admit it, and compare each job that has a new attempt."""
-        starting = [job for job, chunk in record.entries.values() if chunk.has_unrecorded()]
+        """Write the record if the limits allow it.
+
+        The live record of each job with an attempt that is not stored yet must be unchanged.
+        """
+        starting_jobs = [job for job, chunk in record.entries.values() if chunk.has_unrecorded()]
         if record in self.placement_records or record.size > self._bytes_left:
             return
-        if not self.has_capacity(1, len(starting)):
+        if not self.has_capacity(1, len(starting_jobs)):
             return
         self._bytes_left -= record.size
-        for job in starting:
+        for job in starting_jobs:
             self._compare_job(job)
         self.put(Put(record.key, record.value()), record.version)
         self.placement_records.append(record)
--- a/src/crosscleat/core/state/cluster.py
+++ b/src/crosscleat/core/state/cluster.py
@@ -1,13 +1,14 @@
-"""Where each attempt may be, and what proves that it has ended.
+"""The allocations of all machines, with the capacity, quota and zones that they use.
 
-An allocation stands for one attempt that may exist on a machine, listed by its heartbeats or
-not. It keeps its capacity, its team's quota and its zone until one of these is shown:
+An allocation represents one attempt that may exist on a machine, whether or not the heartbeats list
+it. It holds its capacity, its team's quota and its zone until one of these proves that the attempt
+has ended:
 
-- a heartbeat newer than any other, of the same agent epoch, lists the attempt as exited;
+- the newest heartbeat, of the same agent epoch, lists the attempt as exited;
 - a heartbeat of a later agent epoch arrives, since the end of an epoch ends all its tasks;
 - the cloud has confirmed the machine's deletion;
-- the lease has expired since the last response that any controller could have sent;
-- the start can no longer be executed (`Machine.may_still_start` is false) and the newest
+- the worker's lease has expired since the last response that any controller could have sent;
+- the start order can no longer be executed (`Machine.may_still_start` is false) and the newest
   heartbeat does not list the attempt.
 """
 
@@ -32,7 +33,7 @@
 
 
 class ClusterState:
-    """All allocations, by machine, with the capacity, quota and zones that they take."""
+    """All machines and their allocations, with the capacity, quota and zones in use."""
 
     def __init__(self) -> None:
         self.machines: dict[MachineId, Machine] = {}
@@ -40,28 +41,28 @@
         self.team_gpus: dict[str, float] = {}
         self.job_zones: dict[str, dict[Zone, int]] = {}
         self._machines_by_team: dict[tuple[Team, Priority], dict[MachineId, int]] = {}
-        """How many allocations of each team and priority a machine has."""
+        """Number of allocations on each machine, by team and priority."""
 
     def machines_by_team(self) -> Iterator[tuple[Team, Priority, Collection[MachineId]]]:
-        """Teams and priorities that have allocations, and the machines that these are on."""
+        """Yield each team and priority that has allocations, with the machines that they are on."""
         for (team, priority), machines in self._machines_by_team.items():
             if machines:
                 yield team, priority, machines.keys()
 
     def add(self, machine: Machine, allocation: Allocation) -> None:
-        """Add an allocation, and count what it takes."""
+        """Add an allocation and the resources that it uses."""
         machine.allocations[allocation.task, allocation.attempt] = allocation
-        self._count(machine, allocation, 1)
+        self._update_usage(machine, allocation, 1)
 
     def remove(self, machine: Machine, allocation: Allocation) -> None:
         """Release an allocation whose attempt is proven to have ended; repeats have no effect."""
         if machine.allocations.pop((allocation.task, allocation.attempt), None) is not None:
-            self._count(machine, allocation, -1)
+            self._update_usage(machine, allocation, -1)
 
     def find(
         self, job: JobRef, number: int, attempt: Attempt, machine_id: MachineId
     ) -> tuple[Machine, Allocation] | None:
-        """The allocation of this attempt on this machine; None if there is none."""
+        """Return the machine and this attempt's allocation on it; None if there is none."""
         machine = self.machines.get(machine_id)
         allocation = machine and machine.allocations.get((TaskId(job, number), attempt))
         return (machine, allocation) if machine and allocation else None
@@ -69,14 +70,14 @@
     def allocations_of(
         self, job: Job, except_number: int | None = None
     ) -> Iterator[tuple[Machine, Allocation]]:
-        """Where the job's tasks may be, leaving out the one with the number `except_number`."""
+        """Yield the allocations of the job's tasks, except that of task `except_number`."""
         for chunk in job.chunks.values():
             for number, placed in list(chunk.placed.items()):
-                found = self.find(job.ref, number, placed.attempt, placed.machine)
-                if found is not None and number != except_number:
-                    yield found
+                located = self.find(job.ref, number, placed.attempt, placed.machine)
+                if located is not None and number != except_number:
+                    yield located
 
-    def _count(self, machine: Machine, allocation: Allocation, sign: int) -> None:
+    def _update_usage(self, machine: Machine, allocation: Allocation, sign: int) -> None:
         job = allocation.spec
         if machine.allocations:
             machine.used_cpus += sign * job.cpus
@@ -86,10 +87,10 @@
             machine.used_cpus = machine.used_gpus = machine.used_memory = 0.0
         self.team_cpus[job.team] = self.team_cpus.get(job.team, 0.0) + sign * job.cpus
         self.team_gpus[job.team] = self.team_gpus.get(job.team, 0.0) + sign * job.gpus
-        running = self._machines_by_team.setdefault((job.team, job.priority), {})
-        running[machine.id] = running.get(machine.id, 0) + sign
-        if running[machine.id] <= 0:
-            del running[machine.id]
+        machine_counts = self._machines_by_team.setdefault((job.team, job.priority), {})
+        machine_counts[machine.id] = machine_counts.get(machine.id, 0) + sign
+        if machine_counts[machine.id] <= 0:
+            del machine_counts[machine.id]
         zones = self.job_zones.setdefault(job.ref, {})
         zones[allocation.zone] = zones.get(allocation.zone, 0) + sign
         if zones[allocation.zone] <= 0:
@@ -98,7 +99,7 @@
                 del self.job_zones[job.ref]
 
     def zone_allows(self, job: JobSpec, zone: Zone) -> bool:
-        """Whether the job's zone constraints admit one more of its tasks in this zone."""
+        """Whether the job's zone constraints allow one more of its tasks in this zone."""
         return (
             not is_zone_limited(job)
             or tasks_left_in_zone(job, zone, self.job_zones.get(job.ref, NO_ZONES)) > 0
--- a/src/crosscleat/core/state/direct_channel.py
+++ b/src/crosscleat/core/state/direct_channel.py
@@ -1,4 +1,4 @@
-"""Direct commands to one machine: which may still be executed, and from when on more are sent."""
+"""Direct commands to one machine: which ones may still be executed, and when they are paused."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from ..model.ids import LONG_AGO, Seconds, Token
 from .allocations import AttemptKey
 
-SPARE_STARTS = 20
-"""So many more starts than twice the listed attempts are remembered before some are dropped."""
+MAX_EXTRA_STARTS = 20
+"""Starts that may be remembered beyond twice the listed attempts before some are dropped."""
 
 
 @dataclass(slots=True)
@@ -17,21 +17,21 @@
     """The state of direct commands to one machine."""
 
     in_flight: bool = False
-    """A direct command was sent, and its outcome is not known yet."""
+    """Whether a direct command was sent whose outcome is not known yet."""
     pending_start_token: int = 0
-    """A direct start sent with this token or a lower one may still be executed."""
+    """Highest fencing token of a direct start that may still be executed."""
     starts: dict[AttemptKey, Token] = field(default_factory=dict)
-    """Attempts of this agent epoch whose start was sent directly, and with which token."""
+    """Attempts of this agent epoch whose start was sent directly, with its fencing token."""
     failures: int = 0
-    """Direct commands that failed since the last one that succeeded."""
+    """Number of consecutive direct commands that failed."""
     paused_until: Seconds = LONG_AGO
-    """A direct command failed: until then commands go in responses to heartbeats alone."""
+    """After a failed direct command, orders are only sent in heartbeat responses until then."""
 
     def drop_starts(
         self, listed: Collection[AttemptKey], allocated: Collection[AttemptKey]
     ) -> None:
-        """Drop starts of attempts that are neither listed nor allocated, once there are many."""
-        if len(self.starts) > 2 * len(listed) + SPARE_STARTS:
+        """Forget starts of attempts that are neither listed nor allocated, once there are many."""
+        if len(self.starts) > 2 * len(listed) + MAX_EXTRA_STARTS:
             self.starts = {
                 key: token
                 for key, token in self.starts.items()
--- a/src/crosscleat/core/state/image_cache.py
+++ b/src/crosscleat/core/state/image_cache.py
@@ -1,4 +1,4 @@
-"""The images that a worker's cache should have, as far as starts and heartbeats show it."""
+"""The expected content of a worker's image cache, derived from starts and heartbeats."""
 
 from __future__ import annotations
 
@@ -10,21 +10,24 @@
 
 @dataclass(slots=True)
 class ImageCache:
-    """The images of one machine, in the order of their last use."""
+    """The images of one machine, ordered from least to most recently used."""
 
     ready_at: dict[str, Seconds] = field(default_factory=dict)
-    """From when on each image is present."""
+    """The time from which each image is present."""
     size_gb: dict[str, float] = field(default_factory=dict)
 
     def use(self, image: str, size_gb: float, ready: Seconds) -> None:
-        """Enter an image as present from `ready` on, if it is not entered with another time."""
+        """Mark an image as most recently used.
+
+        `ready` is when it will be present; a time that is already known for it is kept.
+        """
         self.ready_at[image] = self.ready_at.pop(image, ready)
         self.size_gb[image] = size_gb
 
     def evict(self, capacity_gb: float, needed: Collection[str], used: str) -> None:
-        """Remove the least recently used images beyond the capacity, but none that is needed.
+        """Remove least recently used images until the rest fits, except those that are needed.
 
-        `used` is the image whose use makes this necessary: it comes last, and stays.
+        `used` is the most recently used image, which is never removed.
         """
         for image in list(self.ready_at):
             if sum(self.size_gb.values()) <= capacity_gb or image == used:
@@ -33,5 +36,5 @@
                 del self.ready_at[image], self.size_gb[image]
 
     def mark_present(self, image: str, now: Seconds) -> None:
-        """A task runs with the image, so it is present by now."""
+        """Record that the image is present now, since a task runs with it."""
         self.ready_at[image] = min(now, self.ready_at[image])
--- a/src/crosscleat/core/state/job_records.py
+++ b/src/crosscleat/core/state/job_records.py
@@ -1,4 +1,4 @@
-"""The records that keep a job in the store while it is live, and its outcome for good."""
+"""The stored records of jobs: a live record until the job is over, then a permanent outcome."""
 
 from __future__ import annotations
 
@@ -10,38 +10,38 @@
 
 
 def live_record(spec: JobSpec, submitted: WallTime, cancelled: bool) -> Record:
-    """What is stored of a job until it is over."""
+    """Encode the record that is stored until the job is over."""
     return {"spec": msgspec.to_builtins(spec), "at": submitted, "aborted": cancelled}
 
 
 def spec_of(record: Record) -> JobSpec:
-    """The job as its live record describes it."""
+    """Decode the job's spec from its live record."""
     return msgspec.convert(record["spec"], JobSpec)
 
 
 def submitted_at(record: Record) -> WallTime:
-    """When the job of this live record was submitted."""
+    """Decode from a live record when the job was submitted."""
     return WallTime(record["at"])
 
 
 def is_cancelled(record: Record) -> bool:
-    """Whether the job of this live record was cancelled by its user."""
+    """Decode from a live record whether the user cancelled the job."""
     cancelled: bool = record["aborted"]
     return cancelled
 
 
 class JobOutcome(msgspec.Struct, frozen=True):
-    """How a job ended: with all its tasks done, or cancelled."""
+    """How a job ended: all its tasks are done, or it was cancelled."""
 
     tasks: int
     cancelled: bool
 
 
 def outcome_of(record: Record) -> JobOutcome:
-    """The job's end as its ended record describes it."""
+    """Decode a job's outcome from its ended record."""
     return JobOutcome(record["tasks"], record["aborted"])
 
 
 def ended_record(tasks: int, cancelled: bool) -> Record:
-    """What is stored of a job's outcome, for good."""
+    """Encode the permanent record of a job's outcome."""
     return {"tasks": tasks, "aborted": cancelled}
--- a/src/crosscleat/core/state/jobs.py
+++ b/src/crosscleat/core/state/jobs.py
@@ -1,8 +1,8 @@
 """Jobs in the leader's memory: which tasks are done, waiting or placed, and what is recorded.
 
-`live/<ref>` keeps the spec and whether its user cancelled the job, `ended/<ref>` the final
-outcome (`job_records`). A job's tasks are divided into chunks, each kept in one placement record
-(`placement_records`).
+The store key `live/<ref>` holds the spec and whether the user cancelled the job, `ended/<ref>` the
+final outcome (`job_records`). A job's tasks are divided into chunks, each stored in one placement
+record (`placement_records`).
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 )
 
 NO_ATTEMPT = Attempt(0)
-"""The number before that of the first attempt."""
+"""Placeholder for a task without attempts; the first attempt has the next number."""
 
 
 @dataclass(slots=True)
 class Placement:
-    """The machine and agent epoch of a task's present attempt."""
+    """The machine and agent epoch of a task's current attempt."""
 
     attempt: Attempt
     machine: MachineId
@@ -45,9 +45,10 @@
 
 
 class RecordedPlacement(NamedTuple):
-    """An attempt of the task with this number is on the machine, as far as the store knows.
+    """An attempt of the task with this number on this machine, as the store has it.
 
-    The machine belongs to it: a gang's lost task is replaced under the same attempt number.
+    The attempt number alone does not identify the attempt, since a lost task of a gang is replaced
+    on another machine under the same number.
     """
 
     number: int
@@ -57,27 +58,27 @@
 
 @dataclass(slots=True, eq=False)
 class Chunk:
-    """Consecutive tasks of a job, kept together in one placement record."""
+    """Consecutive tasks of a job that are stored together in one placement record."""
 
     number: int
     record_number: int | None = None
-    """The number of the record that keeps it."""
+    """The number of the placement record that contains the chunk."""
     placed: dict[int, Placement] = field(default_factory=dict)
-    """Tasks with an attempt that may be on a machine."""
+    """Placements of the tasks whose current attempt may be on a machine."""
     attempts: dict[int, Attempt] = field(default_factory=dict)
-    """The last attempt of each task that was attempted and is not done."""
+    """The last attempt number of each task that was attempted and is not done."""
     recorded: frozenset[RecordedPlacement] = frozenset()
-    """Where the stored records say that attempts may be."""
+    """The placements in the stored record."""
 
     def known_placements(self) -> frozenset[RecordedPlacement]:
-        """Where attempts may be according to this process, recorded or not."""
+        """The placements known to this process, whether stored or not."""
         return frozenset(
             RecordedPlacement(index, placed.attempt, placed.machine)
             for index, placed in self.placed.items()
         )
 
     def has_unrecorded(self) -> bool:
-        """Whether an attempt is placed that the store does not have."""
+        """Whether there is a placement that is not in the store."""
         return any(
             (index, placement.attempt, placement.machine) not in self.recorded
             for index, placement in self.placed.items()
@@ -96,29 +97,29 @@
     done: bytearray = field(default_factory=bytearray)
     done_count: int = 0
     first_untried: int = 0
-    """Tasks from this number on have never been attempted."""
+    """Tasks with this or a higher number have never been attempted."""
     retry_queue: list[int] = field(default_factory=list)
-    """Tasks that may be attempted again now; the last one is the next."""
+    """Stack of tasks that may be retried now; the last one is placed next."""
     delayed: list[tuple[Seconds, int]] = field(default_factory=list)
-    """A heap of tasks that may be attempted again at a later time."""
+    """Heap of tasks that may be retried later, by the earliest time for it."""
     failures: dict[int, int] = field(default_factory=dict)
-    """Failures of each task since it last completed."""
+    """Number of failures of each task since it last completed."""
     failed_on: set[MachineId] = field(default_factory=set)
-    succeeded: bool = False
-    """A task of it has completed in this term."""
+    has_completed_task: bool = False
+    """Whether a task of the job has completed in this term."""
     chunks: dict[int, Chunk] = field(default_factory=dict)
     gang_attempt: Attempt = NO_ATTEMPT
-    """The number before the one of a gang's present attempt."""
+    """For a gang: one less than the number of its current attempt."""
     progress: GangProgress = field(default_factory=GangProgress)
-    """Used for gangs only."""
+    """Only used for gangs."""
     idle_since: Seconds = LONG_AGO
-    """When an attempt of it last ended; earlier than its submission if none has."""
+    """When an attempt of the job last ended; earlier than its submission if none has."""
     at_risk: bool = False
-    """The loss of a spot machine is likely to make it late (`interruptions`)."""
+    """Whether the loss of a spot machine may well make the job late (`interruptions`)."""
     backfill: bool = False
-    """It only uses capacity that others leave idle (`model.is_backfill`)."""
+    """Whether the job only uses capacity that others leave idle (`deployment.is_backfill`)."""
     needs_reread: bool = False
-    """Its end is being written, or a write of ours found its live record changed."""
+    """Whether the live record is to be read again, since a write of ours found it changed."""
 
     def __post_init__(self) -> None:
         if not self.done:
@@ -130,7 +131,7 @@
         return self.spec.ref
 
     def chunk_of(self, index: int) -> Chunk:
-        """The chunk that the task belongs to, created if it does not exist yet."""
+        """Return the chunk that contains the task, created if it does not exist yet."""
         return self._chunk(index // self.chunk_length)
 
     def _chunk(self, number: int) -> Chunk:
@@ -141,36 +142,36 @@
 
     @property
     def is_gang(self) -> bool:
-        """Whether its tasks run together or not at all."""
+        """Whether the job's tasks only run all together."""
         return self.spec.shape is Shape.GANG
 
     @property
     def fully_recorded(self) -> bool:
-        """Whether the store has a placement of every task of the gang."""
+        """Whether the store has the placements of all tasks of the gang."""
         return self.placed_count() == self.spec.tasks and not any(
             chunk.has_unrecorded() for chunk in self.chunks.values()
         )
 
     @property
     def ever_placed(self) -> bool:
-        """Whether any task of it has ever been placed."""
+        """Whether any task of the job has ever been placed."""
         return self.first_untried > 0
 
     def waiting_count(self) -> int:
-        """Tasks that could be placed now."""
+        """Number of tasks that could be placed now."""
         return self.spec.tasks - self.first_untried + len(self.retry_queue)
 
     @property
     def partly_placed(self) -> bool:
-        """Whether a gang lacks some of its tasks, none of which has completed."""
+        """Whether only some tasks of a gang are placed and none has completed."""
         return 0 < self.placed_count() < self.spec.tasks and not self.done_count
 
     def placed_count(self) -> int:
-        """Tasks that may be on a machine."""
+        """Number of tasks that may be on a machine."""
         return sum(len(chunk.placed) for chunk in self.chunks.values())
 
     def idle_duration_s(self, now: Seconds) -> float:
-        """For how long no task of it has been on a machine."""
+        """Seconds for which no task of the job has been on a machine."""
         return 0.0 if self.placed_count() else now - max(self.submitted, self.idle_since)
 
     def resume_delayed(self, now: Seconds) -> None:
@@ -179,13 +180,13 @@
             self.retry_queue.append(heapq.heappop(self.delayed)[1])
 
     def next_task(self) -> int | None:
-        """The task to place next; None if none waits."""
+        """Return the task to place next, or None if none is waiting."""
         if self.retry_queue:
             return self.retry_queue[-1]
         return self.first_untried if self.first_untried < self.spec.tasks else None
 
     def place(self, machine: MachineId, agent_epoch: AgentEpoch) -> tuple[TaskId, Attempt]:
-        """Place a new attempt of the next task: it must be recorded before a start is sent."""
+        """Place a new attempt of the next task; it must be stored before a start is sent."""
         if self.is_gang and not self.placed_count():
             self.gang_attempt = self._highest_attempt()
             self.progress.begin_attempt(self.spec)
@@ -195,22 +196,22 @@
             index = self.first_untried
             self.first_untried += 1
         chunk = self.chunk_of(index)
-        # All tasks of a gang's attempt have its number: by that they find each other.
-        before = self.gang_attempt if self.is_gang else chunk.attempts.get(index, 0)
-        attempt = Attempt(before + 1)
+        # All tasks of a gang's attempt share its number, by which they find each other.
+        previous = self.gang_attempt if self.is_gang else chunk.attempts.get(index, 0)
+        attempt = Attempt(previous + 1)
         chunk.attempts[index] = attempt
         chunk.placed[index] = Placement(attempt, machine, agent_epoch)
         return TaskId(self.ref, index), attempt
 
     def _highest_attempt(self) -> Attempt:
-        """The highest number that an attempt of any task has had."""
+        """The highest attempt number of any task."""
         attempts = (
             attempt for chunk in self.chunks.values() for attempt in chunk.attempts.values()
         )
         return max(attempts, default=NO_ATTEMPT)
 
     def is_current(self, index: int, attempt: Attempt, machine: MachineId) -> bool:
-        """Whether the task's present attempt has this number and is on this machine."""
+        """Whether the task's current attempt has this number and is on this machine."""
         chunk = self.chunks.get(index // self.chunk_length)
         placement = chunk.placed.get(index) if chunk is not None else None
         return (
@@ -218,7 +219,7 @@
         )
 
     def finish(self, index: int) -> None:
-        """The task's present attempt completed."""
+        """Mark the task as done: its current attempt completed."""
         chunk = self.chunk_of(index)
         chunk.placed.pop(index, None)
         chunk.attempts.pop(index, None)
@@ -226,12 +227,12 @@
             self.done[index] = 1
             self.done_count += 1
         self.failures.pop(index, None)
-        self.succeeded = True
+        self.has_completed_task = True
 
     def requeue(self, index: int, not_before: Seconds | None) -> None:
-        """The task's present attempt is proven to have ended without a result.
+        """Queue the task again: its current attempt is proven to have ended without a result.
 
-        `not_before` delays the next attempt; None: at once.
+        `not_before` is the earliest time of the next attempt; None allows it at once.
         """
         chunk = self.chunk_of(index)
         chunk.placed.pop(index, None)
@@ -241,7 +242,7 @@
             heapq.heappush(self.delayed, (not_before, index))
 
     def encode_chunk(self, chunk: Chunk) -> Record:
-        """The stored form of the chunk, as `stored_placements.StoredChunk` describes it."""
+        """Encode the chunk in the form of `stored_placements.StoredChunk`."""
         first = chunk.number * self.chunk_length
         last = min(first + self.chunk_length, self.spec.tasks)
         rows: list[list[int | str]] = []
@@ -256,19 +257,19 @@
     def load_tasks(
         self, first: int, last: int, done: Iterable[TaskRange], attempts: Iterable[StoredAttempt]
     ) -> list[Chunk]:
-        """Replace what is known of the tasks from `first` to before `last` by what is stored.
+        """Replace the state of the tasks from `first` to before `last` by the stored state.
 
-        Returns the chunks that these tasks belong to.
+        Returns the chunks that contain these tasks.
         """
         for start, end in done:
             for index in range(start, end):
                 self.done[index] = 1
         last = min(last, self.spec.tasks)
-        found = [
+        loaded_chunks = [
             self._chunk(number)
             for number in range(first // self.chunk_length, (last - 1) // self.chunk_length + 1)
         ]
-        for chunk in found:
+        for chunk in loaded_chunks:
             for index in [index for index in chunk.attempts if first <= index < last]:
                 del chunk.attempts[index]
                 chunk.placed.pop(index, None)
@@ -279,17 +280,17 @@
                 chunk.placed[stored.index] = Placement(
                     stored.attempt, stored.machine, stored.agent_epoch
                 )
-        for chunk in found:
+        for chunk in loaded_chunks:
             chunk.recorded = chunk.known_placements()
-        return found
+        return loaded_chunks
 
     def finish_loading(self) -> None:
-        """Work out which tasks wait, after all chunks are loaded."""
+        """Determine which tasks are waiting, after all chunks are loaded."""
         self.done_count = sum(self.done)
         if self.is_gang and self.placed_count():
             self.gang_attempt = Attempt(self._highest_attempt() - 1)
-        reached = (max(self.chunks) + 1) * self.chunk_length if self.chunks else 0
-        self.first_untried = min(reached, self.spec.tasks)
+        loaded_end = (max(self.chunks) + 1) * self.chunk_length if self.chunks else 0
+        self.first_untried = min(loaded_end, self.spec.tasks)
         self.retry_queue = [
             index
             for index in range(self.first_untried - 1, -1, -1)
@@ -297,7 +298,7 @@
         ]
 
     def finish_unplaced(self) -> None:
-        """Mark all tasks as done that are neither done nor placed."""
+        """Mark all tasks as done that are not placed."""
         for index in range(self.spec.tasks):
             if not self.done[index] and not self.is_placed(index):
                 self.finish(index)
@@ -316,20 +317,23 @@
         return self.done_count >= self.spec.tasks
 
     def is_over(self) -> bool:
-        """Whether its end can be recorded: all tasks done, or cancelled with no task placed."""
+        """Whether the job's end can be recorded.
+
+        Either all tasks are done, or the job is cancelled and no task is placed.
+        """
         if self.complete:
             return True
         return self.cancelled and self.placed_count() == 0
 
 
 def _ranges(flags: bytearray, first: int, last: int) -> list[list[int]]:
-    """Ranges of set flags between `first` and before `last`, as in `TaskRange`."""
-    found: list[list[int]] = []
+    """Return the ranges of set flags from `first` to before `last`, each as a `TaskRange`."""
+    ranges: list[list[int]] = []
     index = flags.find(1, first, last)
     while index >= 0:
         end = flags.find(0, index, last)
         if end < 0:
             end = last
-        found.append([index, end])
+        ranges.append([index, end])
         index = flags.find(1, end, last)
-    return found
+    return ranges
--- a/src/crosscleat/core/state/keys.py
+++ b/src/crosscleat/core/state/keys.py
@@ -1,4 +1,4 @@
-"""The keys and key prefixes of what controllers keep in the store."""
+"""The keys and key prefixes that controllers use in the store."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 """Prefix of the records of jobs that are not over."""
 
 ENDED = "ended/"
-"""Prefix of the records of jobs' outcomes, which are kept for good."""
+"""Prefix of the records of jobs' outcomes, which are kept permanently."""
 
 FORMAT = "format/"
-"""Prefix of the keys by which each controller shows that it reads shortened chunks."""
+"""Prefix of the keys by which each controller announces that it can read shortened chunks."""
 
 
 def live_key(ref: JobRef) -> str:
@@ -28,7 +28,7 @@
 """Prefix of placement records."""
 
 DECOMMISSIONED = "drop/"
-"""Prefix of the records of machines whose deletion is decided."""
+"""Prefix of the records that list machines to be deleted."""
 
 LEADER = "leader"
-"""Key of the leader; its version is the fencing token."""
+"""Key that the leader holds; its version is the fencing token."""
--- a/src/crosscleat/core/state/machine.py
+++ b/src/crosscleat/core/state/machine.py
@@ -17,19 +17,19 @@
     Zone,
 )
 from ..model.job_spec import JobSpec
-from ..model.quantities import ROUNDING
+from ..model.quantities import ROUNDING_TOLERANCE
 from .allocations import Allocation, AttemptKey
 from .direct_channel import DirectChannel
 from .image_cache import ImageCache
 
-NEVER_ANSWERED = Seconds(-math.inf)
+NEVER_RESPONDED = Seconds(-math.inf)
 """`Machine.last_response_at` before the first response."""
 
 UNKNOWN_TYPE = MachineType(TypeName(""), 0.0, 0.0, 0.0, 0.0, 1.0, 0.0, 0.0, 0.0, ())
-"""The type of a machine whose type is not known, or not yet: it has no capacity."""
+"""The type of a machine whose type is not known; it has no capacity."""
 
-NOWHERE = Zone("")
-"""The zone of a machine that only a record has named so far."""
+UNKNOWN_ZONE = Zone("")
+"""The zone of a machine that is only known from a stored record so far."""
 
 
 @dataclass(slots=True)
@@ -43,80 +43,87 @@
     address: str | None = None
     created_at: Seconds = LONG_AGO
     has_sent_heartbeat: bool = False
-    """A heartbeat of it has arrived in this term."""
+    """Whether a heartbeat of it has arrived in this term."""
     listed_by_cloud: bool = False
-    """The cloud's list has named it."""
+    """Whether the cloud's machine list has contained it."""
     listed_as_running: bool = False
-    """The cloud's list has named it as running: it has booted, with or without a heartbeat."""
+    """Whether the cloud's list has shown it as running: it has booted, even without a heartbeat."""
     heartbeat_id: HeartbeatId = NO_HEARTBEAT
     heartbeat_sequence: int = 0
-    """Sequence of the newest heartbeat; replies to direct commands change `heartbeat_id` alone."""
-    shown_token: int = 0
-    """The highest fencing token that its heartbeats have shown."""
+    """Sequence number of the newest heartbeat.
+
+    Replies to direct commands change only `heartbeat_id`.
+    """
+    reported_token: int = 0
+    """The highest fencing token that its heartbeats have reported."""
     direct: DirectChannel = field(default_factory=DirectChannel)
     last_heartbeat_at: Seconds = LONG_AGO
-    last_response_at: Seconds = NEVER_ANSWERED
-    """When we last responded to a heartbeat of it."""
+    last_response_at: Seconds = NEVER_RESPONDED
+    """When this leader last responded to one of its heartbeats."""
     responses_unbroken_since: Seconds = LONG_AGO
-    """Since when we have responded to its heartbeats without a long interruption."""
+    """Since when this leader has responded to its heartbeats without a long interruption."""
     last_possible_renewal: Seconds = LONG_AGO
     """The latest time at which any controller could have renewed the worker's lease."""
     reclaim_at: Seconds | None = None
-    """When the cloud takes it back, once a notice was received."""
+    """When the cloud will reclaim it, if a notice was received."""
     quarantined: bool = False
-    """Several jobs failed on it: nothing is placed on it any more."""
+    """Whether several jobs failed on it; nothing more is placed on it then."""
     surplus: bool = False
-    """It is not needed any more, and deleted once it is empty."""
+    """Whether it is no longer needed and is deleted once it is empty."""
     failed_jobs: set[str] = field(default_factory=set)
-    """Jobs that failed on it since a task last completed there."""
+    """Jobs that failed on it since a task last completed on it."""
     placement_paused_until: Seconds = LONG_AGO
-    """It refused a start for lack of capacity: nothing is placed on it until then."""
+    """After it refused a start for lack of capacity, nothing is placed on it until this time."""
     decommissioning: bool = False
-    """Its deletion is decided; nothing is placed on it again."""
+    """Whether its deletion is decided; nothing more is placed on it then."""
     deleted_for_silence: bool = False
-    """Its deletion was decided because it sent no heartbeats."""
+    """Whether its deletion was decided because it sent no heartbeats."""
     decommission_recorded: bool = False
-    """The store has the decision to delete it: the deletion may be sent."""
+    """Whether the decision to delete it is in the store, so that the deletion may be sent."""
     deletion_sent_at: Seconds | None = None
-    """When its deletion was last sent to the cloud."""
+    """When the request to delete it was last sent to the cloud."""
     images: ImageCache = field(default_factory=ImageCache)
     allocations: dict[AttemptKey, Allocation] = field(default_factory=dict)
     exited: dict[AttemptKey, str] = field(default_factory=dict)
-    """Attempts that the newest heartbeat lists as exited, with their causes."""
+    """Attempts that its newest heartbeat lists as exited, with their causes."""
     idle_since: Seconds | None = None
     """Since when it has had no allocation."""
     used_cpus: float = 0.0
     used_gpus: float = 0.0
     used_memory: float = 0.0
     orphans: dict[AttemptKey, None] = field(default_factory=dict)
-    """Attempts that its newest heartbeat lists and no record has, in its order: they are
-    stopped."""
+    """Attempts in its newest heartbeat that have not exited and have no allocation.
+
+    They are stopped, in the order of the heartbeat.
+    """
     confirmed_in_term: bool = False
-    """Rented in this term, or a heartbeat has shown a token of it: it is no delayed heartbeat of
-    a machine that no longer exists."""
+    """Whether it was rented in this term, or a heartbeat has reported a fencing token of this term.
+
+    Otherwise its heartbeats may be delayed ones of a machine that no longer exists.
+    """
     unresponsive_since: Seconds | None = None
-    """Since when its heartbeats have shown that it does not act on our responses."""
+    """Since when its heartbeats have shown that it does not act on this leader's responses."""
     probed_at: Seconds = LONG_AGO
-    """When another controller was last asked to reach it."""
+    """When other controllers were last asked to probe it."""
 
     @property
     def booted(self) -> bool:
-        """Whether it has booted, as its own heartbeats or the cloud's list show."""
+        """Whether it has booted, according to its own heartbeats or the cloud's list."""
         return self.has_sent_heartbeat or self.listed_as_running
 
     @property
     def draining(self) -> bool:
-        """Whether nothing more is placed on it, and it is deleted once it is empty."""
+        """Whether nothing more is placed on it and it is deleted once it is empty."""
         return self.quarantined or self.surplus or self.reclaim_at is not None
 
     def begin_agent_epoch(self) -> None:
-        """Its lease expired: what it did and received in the epoch before is void."""
+        """Discard the state of the previous agent epoch, which ended when its lease expired."""
         self.exited.clear()
         self.orphans.clear()
         self.direct.starts.clear()
 
     def update_task_list(self, listed: dict[AttemptKey, TaskStatus]) -> None:
-        """Note the exited attempts of the newest heartbeat, and those that no record has."""
+        """Record the exited attempts of the newest heartbeat, and those without an allocation."""
         self.exited = {
             key: task.cause or "" for key, task in listed.items() if task.state == EXITED
         }
@@ -128,17 +135,17 @@
         )
 
     def fits(self, job: JobSpec) -> bool:
-        """Whether one task of the job fits beside all allocations, running or not."""
+        """Whether one task of the job fits in addition to all allocations, running or not."""
         return (
-            self.used_cpus + job.cpus <= self.type.cpus + ROUNDING
-            and self.used_memory + job.memory_gb <= self.type.memory_gb + ROUNDING
-            and self.used_gpus + job.gpus <= self.type.gpus + ROUNDING
+            self.used_cpus + job.cpus <= self.type.cpus + ROUNDING_TOLERANCE
+            and self.used_memory + job.memory_gb <= self.type.memory_gb + ROUNDING_TOLERANCE
+            and self.used_gpus + job.gpus <= self.type.gpus + ROUNDING_TOLERANCE
         )
 
     def use_image(self, image: str, size_gb: float, ready: Seconds) -> None:
-        """Enter an image as present from `ready` on, and evict others beyond the size of the cache.
+        """Mark an image as used, present from `ready` on, and evict others if the cache is full.
 
-        None is evicted that an allocation needs.
+        Images that an allocation needs are not evicted.
         """
         self.images.use(image, size_gb, ready)
         needed = {allocation.spec.image for allocation in self.allocations.values()}
@@ -153,13 +160,13 @@
         )
 
     def may_still_start(self, allocation: Allocation) -> bool:
-        """Whether a start that was sent for this allocation can still be executed.
+        """Whether the worker can still execute a start that was sent for this allocation.
 
-        A direct start can be executed until the worker has shown a higher token. One in the
-        response to a heartbeat is executed before the next heartbeat is sent, or never.
+        A direct start can be executed until the worker has reported a higher fencing token. A start
+        in the response to a heartbeat is executed before the next heartbeat is sent, or never.
         """
         if not allocation.start_sent:
             return False
-        if self.direct.in_flight or self.shown_token <= self.direct.pending_start_token:
+        if self.direct.in_flight or self.reported_token <= self.direct.pending_start_token:
             return True
         return self.heartbeat_sequence <= allocation.start_sent_at_sequence
--- a/src/crosscleat/core/state/placement_records.py
+++ b/src/crosscleat/core/state/placement_records.py
@@ -1,13 +1,13 @@
-"""The placement records: the chunks of several jobs in each value of the store.
+"""Placement records, each of which stores the chunks of several jobs in one value.
 
-The store allows few changes a second, so the chunks of many jobs are kept in few values. A chunk
-stays in the record that it was first put in. What a record still has of a job that has ended is
-ignored, and removed with the record's next change.
+The store allows few changes per second, so the chunks of many jobs are stored in few values. A
+chunk stays in the record to which it was first added. Data of ended jobs in a record is ignored,
+and removed with the record's next change.
 
-A chunk has 200 tasks, or as many as fit into one value where that is less. If a record of an
-earlier version, or written under other limits, has chunks of another length than ours, all its
-tasks are rewritten in ours, a few at a time, and it is removed after the last. Until then a task
-may be in two records: the one that was changed later is valid.
+A chunk has 200 tasks, or as many as fit into one value if that is less. If a record that was
+written by an earlier version or under other limits has a different chunk length, all its tasks are
+rewritten in chunks of the current length, a few at a time, and then the record is removed. Until
+then a task may be in two records; the one that was changed later is valid.
 """
 
 from __future__ import annotations
@@ -23,51 +23,51 @@
 from .stored_placements import DEFAULT_CHUNK_LENGTH, StoredPlacements, encode_placements
 
 TASK_BYTES = 40
-"""Upper bound for a task in a record, whatever its state, in the form that limits count."""
+"""Upper bound for the size of a task in a record in any state, encoded as the limits count it."""
 
 CHUNK_BYTES = 160
-"""Upper bound for the rest of a chunk."""
+"""Upper bound for the size of a chunk without its tasks."""
 
 TARGET_FILL = 0.6
-"""Share of a value's limit up to which chunks of the default length are added to a record."""
+"""Share of the value size limit up to which chunks of the default length are added to a record."""
 
 MAX_FILL = 0.9
-"""Share of a value's limit that is used where chunks are made to fit one."""
+"""Share of the value size limit that is used if chunks are shortened to fit into a value."""
 
 OVERDUE_S = 1.0
-"""A start that has waited so long to be recorded precedes those of a higher priority."""
+"""A start that has waited this long to be recorded precedes those of a higher priority."""
 
 
 def chunk_length_for(value_kb: float) -> int:
-    """How many tasks a chunk has, so that it fits into a value of at most `value_kb` KiB."""
+    """Return the number of tasks per chunk, so that a chunk fits into a value of `value_kb` KiB."""
     return min(DEFAULT_CHUNK_LENGTH, (int(value_kb * 1024 * MAX_FILL) - CHUNK_BYTES) // TASK_BYTES)
 
 
 @dataclass(slots=True, eq=False)
 class PlacementRecord:
-    """One record: the value under `work/<number>`."""
+    """One placement record: the value of the key `work/<number>`."""
 
     number: int
     version: Version = ABSENT
     entries: dict[tuple[JobRef, int], tuple[Job, Chunk]] = field(default_factory=dict)
     size: int = 0
-    """Upper bound for its bytes in the store."""
+    """Upper bound for its size in the store, in bytes."""
     dirty: bool = False
-    """It differs from what is stored."""
+    """Whether it differs from what is stored."""
     start_priority: Priority | None = None
-    """The highest priority among the starts that wait until it is written."""
+    """The highest priority among the starts that wait for it to be written."""
     start_waiting_since: Seconds = LONG_AGO
     removal_pending: bool = False
-    """Its removal was sent: nothing is added to it any more."""
+    """Whether its removal was sent; nothing more is added to it then."""
     chunk_length: int = DEFAULT_CHUNK_LENGTH
 
     @property
     def key(self) -> str:
-        """Its key in the store."""
+        """The record's key in the store."""
         return f"{PLACEMENTS}{self.number}"
 
     def mark_changed(self, priority: Priority | None, now: Seconds) -> None:
-        """Note a change to be written; with a priority, a start of that priority waits for it."""
+        """Mark the record as changed; `priority`: of a start that waits for the write, if any."""
         self.dirty = True
         if priority is None:
             return
@@ -78,45 +78,48 @@
             self.start_priority = max(self.start_priority, priority)
 
     def value(self) -> Record:
-        """Its stored form."""
+        """Encode the record."""
         chunks = [job.encode_chunk(chunk) for job, chunk in self.entries.values()]
         return encode_placements(chunks, self.chunk_length)
 
 
 @dataclass(slots=True)
-class Superseded:
-    """A record whose tasks are being rewritten in chunks of our length."""
+class SupersededRecord:
+    """A record whose tasks are being rewritten in chunks of the current length."""
 
     key: str
     version: Version
-    waiting: dict[tuple[JobRef, int], None] = field(default_factory=dict)
-    """The chunks of our length, by job and number, that are not written yet, in their order."""
+    unwritten: dict[tuple[JobRef, int], None] = field(default_factory=dict)
+    """Chunks of the current length, by job and number, that are not written yet, in load order."""
 
 
 class PlacementRecords:
-    """All records of placements, and which chunk is in which."""
-
-    def __init__(self, value_kb: float, txn_ops: int, cut: bool) -> None:
-        """`cut`: whether chunks may be shortened to fit a value; older versions can't read that."""
-        self.chunk_length = chunk_length_for(value_kb) if cut else DEFAULT_CHUNK_LENGTH
-        share = MAX_FILL if self.chunk_length < DEFAULT_CHUNK_LENGTH else TARGET_FILL
-        self._max_bytes = int(value_kb * 1024 * share)
-        # A transaction compares the live record of each job that starts something.
+    """All placement records, and the record that contains each chunk."""
+
+    def __init__(self, value_kb: float, txn_ops: int, shorten_chunks: bool) -> None:
+        """Create the records; `shorten_chunks`: chunks may be shortened to fit into a value.
+
+        Older versions can't read shortened chunks.
+        """
+        self.chunk_length = chunk_length_for(value_kb) if shorten_chunks else DEFAULT_CHUNK_LENGTH
+        fill = MAX_FILL if self.chunk_length < DEFAULT_CHUNK_LENGTH else TARGET_FILL
+        self._max_bytes = int(value_kb * 1024 * fill)
+        # Each job with a new attempt adds a condition on its live record to the transaction.
         self._max_entries = 2 * txn_ops
         self._records: dict[int, PlacementRecord] = {}
-        self._superseded: list[Superseded] = []
+        self._superseded: list[SupersededRecord] = []
         self._next = 1
 
     def __iter__(self) -> Iterator[PlacementRecord]:
         return iter(self._records.values())
 
     def load(self, items: Iterable[Item], jobs: dict[JobRef, Job]) -> None:
-        """Load the records of an earlier leader; jobs that are not in `jobs` have ended."""
-        # The later change is valid, so it comes last.
+        """Load the records that an earlier leader wrote; jobs that are not in `jobs` have ended."""
+        # Later changes override earlier ones, so they are loaded last.
         for item in sorted(items, key=lambda item: item.version):
             self._load_record(item, jobs)
-        waiting = dict.fromkeys(key for old in self._superseded for key in old.waiting)
-        for ref, number in waiting:
+        unwritten = dict.fromkeys(key for old in self._superseded for key in old.unwritten)
+        for ref, number in unwritten:
             job = jobs[ref]
             self.record_for(job, job.chunks[number]).mark_changed(None, LONG_AGO)
 
@@ -125,11 +128,11 @@
         self._next = max(self._next, number + 1)
         stored = StoredPlacements.parse(item.value)
         length = stored.chunk_length
-        old: Superseded | None = None
+        old: SupersededRecord | None = None
         if length == self.chunk_length:
             self._records[number] = PlacementRecord(number, item.version, chunk_length=length)
         else:
-            old = Superseded(item.key, item.version)
+            old = SupersededRecord(item.key, item.version)
             self._superseded.append(old)
         for tasks in stored.chunks:
             job = jobs.get(tasks.job)
@@ -138,49 +141,52 @@
             first, last = tasks.number * length, (tasks.number + 1) * length
             for chunk in job.load_tasks(first, last, tasks.done, tasks.attempts):
                 if old is not None:
-                    # A chunk of ours may have tasks of several such chunks: what other records
-                    # have of it is needed until it is rewritten.
-                    old.waiting[job.ref, chunk.number] = None
+                    # A chunk of the current length may have tasks from chunks of several records,
+                    # which are needed until it is rewritten.
+                    old.unwritten[job.ref, chunk.number] = None
                 else:
                     self._detach(job, chunk)
                     chunk.record_number = number
                     self._attach(self._records[number], job, chunk)
 
     def _detach(self, job: Job, chunk: Chunk) -> None:
-        """Take the chunk out of its record: a record that was changed later has it too."""
+        """Remove the chunk from its record, because a record that was changed later has it too."""
         for old in self._superseded:
-            old.waiting.pop((job.ref, chunk.number), None)
+            old.unwritten.pop((job.ref, chunk.number), None)
         if chunk.record_number is not None:
             record = self._records[chunk.record_number]
             del record.entries[job.ref, chunk.number]
-            record.size -= self._bytes(job)
+            record.size -= self._size_bound(job)
             chunk.record_number = None
 
     def mark_rewritten(self, chunks: Iterable[tuple[Job, Chunk]]) -> None:
-        """Note that the store has these chunks in our length."""
+        """Record that these chunks are in the store with the current length."""
         keys = {(job.ref, chunk.number) for job, chunk in chunks}
         for old in self._superseded:
             for key in keys:
-                old.waiting.pop(key, None)
+                old.unwritten.pop(key, None)
 
     def take_rewritten(self) -> list[tuple[str, Version]]:
-        """Records all of whose tasks are rewritten; they can be removed, and are given out once."""
-        found = [(old.key, old.version) for old in self._superseded if not old.waiting]
-        self._superseded = [old for old in self._superseded if old.waiting]
-        return found
+        """Return the records whose tasks are all rewritten, each once; they can be removed."""
+        rewritten = [(old.key, old.version) for old in self._superseded if not old.unwritten]
+        self._superseded = [old for old in self._superseded if old.unwritten]
+        return rewritten
 
-    def _bytes(self, job: Job) -> int:
+    def _size_bound(self, job: Job) -> int:
         return CHUNK_BYTES + TASK_BYTES * min(self.chunk_length, job.spec.tasks)
 
     def _attach(self, record: PlacementRecord, job: Job, chunk: Chunk) -> None:
         record.entries[job.ref, chunk.number] = job, chunk
-        record.size += self._bytes(job)
+        record.size += self._size_bound(job)
 
     def record_for(self, job: Job, chunk: Chunk) -> PlacementRecord:
-        """The record of the chunk: the one that it is in, or else the first with capacity."""
+        """Return the chunk's record; if it has none, add it to the first record with capacity.
+
+        A new record is created if none has capacity.
+        """
         if chunk.record_number is not None:
             return self._records[chunk.record_number]
-        size = self._bytes(job)
+        size = self._size_bound(job)
         record = next((existing for existing in self if self._has_capacity(existing, size)), None)
         if record is None:
             record = PlacementRecord(self._next, chunk_length=self.chunk_length)
@@ -198,16 +204,16 @@
         )
 
     def remove_job(self, job: Job) -> None:
-        """Take out all chunks of a job that has ended."""
+        """Remove all chunks of a job that has ended."""
         self.mark_rewritten((job, chunk) for chunk in job.chunks.values())
         for chunk in job.chunks.values():
             if chunk.record_number is not None:
                 record = self._records[chunk.record_number]
                 del record.entries[job.ref, chunk.number]
-                record.size -= self._bytes(job)
+                record.size -= self._size_bound(job)
 
     def awaited_by_starts(self, now: Seconds) -> list[PlacementRecord]:
-        """Records that starts wait for, in the order in which they are to be written."""
+        """Return the records that starts wait for, in the order in which they are to be written."""
         waiting = [record for record in self if record.start_priority is not None]
         return sorted(
             waiting,
@@ -219,7 +225,7 @@
         )
 
     def deferrable(self) -> list[PlacementRecord]:
-        """Records that changed, and empty ones to be removed: no start need wait for either."""
+        """Return records that can be written later: changed ones, and empty ones to be removed."""
         return [
             record
             for record in self
@@ -227,5 +233,5 @@
         ]
 
     def remove_record(self, record: PlacementRecord) -> None:
-        """Forget a record that the store no longer has."""
+        """Remove a record that is no longer in the store."""
         del self._records[record.number]
--- a/tests/test_cycle.py
+++ b/tests/test_cycle.py
@@ -61,7 +61,7 @@
         if waiting_job.spec.one_zone:
             assert len(set(places)) <= 1
         if waiting_job.spec.spread:
-            assert all(places.count(zone) <= waiting_job.spec.per_zone() for zone in places)
+            assert all(places.count(zone) <= waiting_job.spec.max_per_zone() for zone in places)
         if waiting_job.spec.shape is Shape.GANG:
             assert len(places) in (0, waiting_job.spec.tasks)
 
@@ -112,7 +112,7 @@
         start_sent=True,
         start_sent_at_sequence=5,
     )
-    machine.shown_token, machine.direct.pending_start_token, machine.heartbeat_sequence = 7, 6, 6
+    machine.reported_token, machine.direct.pending_start_token, machine.heartbeat_sequence = 7, 6, 6
     assert not machine.may_still_start(allocation)
 
     machine.heartbeat_sequence = 5
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -118,7 +118,7 @@
 def test_each_state_of_a_task_is_known(word: str, known: str) -> None:
     heartbeat = heartbeat_with(word, None)
     assert heartbeat.tasks[0].state == known
-    assert not heartbeats.unknown_words(heartbeat)
+    assert not heartbeats.unknown_states_and_causes(heartbeat)
     assert len(workers.STATES) == len(heartbeats.STATES) == 5
 
 
@@ -126,7 +126,7 @@
 def test_each_cause_of_an_exit_is_known(word: str, known: str) -> None:
     heartbeat = heartbeat_with("exited", word)
     assert heartbeat.tasks[0].cause == known
-    assert not heartbeats.unknown_words(heartbeat)
+    assert not heartbeats.unknown_states_and_causes(heartbeat)
     assert len(heartbeats.CAUSES) == 8
 
 
--- a/tests/test_encoded_jobs.py
+++ b/tests/test_encoded_jobs.py
@@ -253,9 +253,9 @@
     stored = {"machines": ["m-1", "m-2"]}
     assert decommission_records.load([Item("drop/4", stored, Version(2))]) == ["m-1", "m-2"]
 
-    record, _ = decommission_records.with_capacity()
+    record, _ = decommission_records.record_with_capacity()
     more = {"machines": ["m-1", "m-2", "m-3"]}
-    assert record.put([MachineId("m-3")]) == Put("drop/4", more)
+    assert record.put_with([MachineId("m-3")]) == Put("drop/4", more)
 
 
 SHORT_CHUNKS = {
@@ -269,7 +269,7 @@
 
 def test_short_chunks_are_read_and_written_with_their_length() -> None:
     one = Job(REPLACE(SPEC, tasks=47), Version(3), NOW, 42)
-    records = PlacementRecords(value_kb=2.0, txn_ops=5, cut=True)
+    records = PlacementRecords(value_kb=2.0, txn_ops=5, shorten_chunks=True)
     records.load([Item("work/7", SHORT_CHUNKS, Version(5))], {REF: one})
     (record,) = records
     assert (record.key, record.value()) == ("work/7", SHORT_CHUNKS)
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -195,7 +195,7 @@
         (heartbeats.EXITED, heartbeats.GANG_MEMBER_LOST, False),
         (heartbeats.EXITED, heartbeats.STOPPED, False),
     ]
-    assert not heartbeats.unknown_words(heartbeat)
+    assert not heartbeats.unknown_states_and_causes(heartbeat)
 
 
 def test_orders_are_written_in_the_protocols_words() -> None:
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -157,18 +157,18 @@
 
 def test_deletions_survive_a_failover() -> None:
     decommission_records = DecommissionRecords(VALUE_KB)
-    record, _ = decommission_records.with_capacity()
-    put = record.put([MachineId("m-1"), MachineId("m-2")])
-    record.names.update({MachineId("m-1"): None, MachineId("m-2"): None})
+    record, _ = decommission_records.record_with_capacity()
+    put = record.put_with([MachineId("m-1"), MachineId("m-2")])
+    record.machine_ids.update({MachineId("m-1"): None, MachineId("m-2"): None})
     record.version = Version(5)
     later = DecommissionRecords(VALUE_KB)
     assert later.load([Item(put.key, put.value, Version(5))]) == ["m-1", "m-2"]
-    assert later.remove_name(MachineId("m-1")) is None
+    assert later.remove_machine_id(MachineId("m-1")) is None
 
-    empty = later.remove_name(MachineId("m-2"))
+    empty = later.remove_machine_id(MachineId("m-2"))
     assert empty is not None
     assert empty.version == 5
 
-    fresh, _ = later.with_capacity()
+    fresh, _ = later.record_with_capacity()
     assert fresh.version == ABSENT
     assert fresh.key != put.key
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -306,7 +306,7 @@
     for number in range(200):
         ref = JobRef(f"job-{number:06d}")
         waiting = Job(job(ref, tasks=50), Version(1), term.now)
-        waiting.succeeded = True
+        waiting.has_completed_task = True
         waiting.failed_on = failing
         term.leader.jobs[ref] = waiting
     term.outbox.take()
--- a/tests/test_task_reports.py
+++ b/tests/test_task_reports.py
@@ -16,7 +16,7 @@
 )
 from crosscleat.core.state.allocations import Allocation
 from crosscleat.core.state.cluster import ClusterState
-from crosscleat.core.state.machine import NOWHERE, UNKNOWN_TYPE, Machine
+from crosscleat.core.state.machine import UNKNOWN_TYPE, UNKNOWN_ZONE, Machine
 
 from .term import TOKEN, Term, recorded_job
 from .world import job
@@ -84,10 +84,17 @@
 def test_a_task_on_a_machine_that_only_a_record_names_may_be_in_any_zone() -> None:
     cluster = ClusterState()
     spec = job("job-1", tasks=2, spread=True)
-    shell = Machine(MachineId("m-0"), UNKNOWN_TYPE, NOWHERE, False)
+    shell = Machine(MachineId("m-0"), UNKNOWN_TYPE, UNKNOWN_ZONE, False)
     task = TaskId(spec.ref, 0)
     allocation = Allocation(
-        task, Attempt(1), spec, shell.id, NOWHERE, AgentEpoch(1), recorded=True, start_sent=True
+        task,
+        Attempt(1),
+        spec,
+        shell.id,
+        UNKNOWN_ZONE,
+        AgentEpoch(1),
+        recorded=True,
+        start_sent=True,
     )
     cluster.add(shell, allocation)
     assert not cluster.zone_allows(spec, Zone("a"))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -168,8 +168,10 @@
     shard_request = peers.decode_message(bytes.fromhex(PART_394DFE6)[4:])
     assert peers.encode_frame(shard_request).hex() == PART_394DFE6
 
-    decommission_records, capacity = DecommissionRecords(SMALL_KB).with_capacity()
-    assert decommission_records.put([MachineId("m-000009")]).value == {"machines": ["m-000009"]}
+    decommission_records, capacity = DecommissionRecords(SMALL_KB).record_with_capacity()
+    assert decommission_records.put_with([MachineId("m-000009")]).value == {
+        "machines": ["m-000009"]
+    }
     assert capacity >= 50
 
 
@@ -177,7 +179,7 @@
 def test_production_reads_what_is_written_before_all_have_changed(
     tasks: int, data: st.DataObject
 ) -> None:
-    records = PlacementRecords(SMALL_KB, SMALL_OPS, cut=False)
+    records = PlacementRecords(SMALL_KB, SMALL_OPS, shorten_chunks=False)
     one_job = Job(job("job-1", tasks=tasks), Version(1), NOW, records.chunk_length)
     placed = data.draw(st.integers(0, tasks))
 
@@ -193,10 +195,10 @@
 def test_large_records_are_rewritten_as_small_ones_and_no_task_is_lost(
     sizes: list[int], data: st.DataObject
 ) -> None:
-    old = PlacementRecords(16.0, 8, cut=False)
+    old = PlacementRecords(16.0, 8, shorten_chunks=False)
     before = drawn_jobs(sizes, old, data)
     items = stored(old, version=2)
-    small = PlacementRecords(SMALL_KB, SMALL_OPS, cut=True)
+    small = PlacementRecords(SMALL_KB, SMALL_OPS, shorten_chunks=True)
     after = unplaced(before, small)
     small.load(items, after)
     removable = small.take_rewritten()
@@ -213,7 +215,7 @@
         # Tasks of a rewritten record are done since then.
         finish_first(small)
         rewritten[0] = stored(small, version=50)[0]
-    third = PlacementRecords(SMALL_KB, SMALL_OPS, cut=True)
+    third = PlacementRecords(SMALL_KB, SMALL_OPS, shorten_chunks=True)
     again = unplaced(before, third)
     third.load([*kept, *rewritten], again)
     for ref, one_job in again.items():
@@ -231,10 +233,10 @@
 
 
 def test_a_record_is_removed_only_when_all_of_it_is_rewritten() -> None:
-    old = PlacementRecords(16.0, 8, cut=False)
+    old = PlacementRecords(16.0, 8, shorten_chunks=False)
     one_job = Job(job("job-1", tasks=150), Version(1), NOW)
     spread(old, one_job, 150, 0)
-    small = PlacementRecords(SMALL_KB, SMALL_OPS, cut=True)
+    small = PlacementRecords(SMALL_KB, SMALL_OPS, shorten_chunks=True)
     jobs = {one_job.ref: Job(one_job.spec, Version(1), NOW, small.chunk_length)}
     small.load(stored(old), jobs)
     records = list(small)
@@ -249,6 +251,9 @@
 
 
 def test_a_chunk_of_two_hundred_is_cut_only_for_small_values() -> None:
-    assert PlacementRecords(16.0, 8, cut=True).chunk_length == DEFAULT_CHUNK_LENGTH
-    assert PlacementRecords(SMALL_KB, SMALL_OPS, cut=True).chunk_length == 42
-    assert PlacementRecords(SMALL_KB, SMALL_OPS, cut=False).chunk_length == DEFAULT_CHUNK_LENGTH
+    assert PlacementRecords(16.0, 8, shorten_chunks=True).chunk_length == DEFAULT_CHUNK_LENGTH
+    assert PlacementRecords(SMALL_KB, SMALL_OPS, shorten_chunks=True).chunk_length == 42
+    assert (
+        PlacementRecords(SMALL_KB, SMALL_OPS, shorten_chunks=False).chunk_length
+        == DEFAULT_CHUNK_LENGTH
+    )
--- a/tests/test_zone_limits.py
+++ b/tests/test_zone_limits.py
@@ -17,7 +17,7 @@
 from crosscleat.core.model.deployment import TeamLimits
 from crosscleat.core.model.ids import MachineId, Team, TypeName, Zone
 from crosscleat.core.model.job_spec import Shape
-from crosscleat.core.state.machine import NOWHERE, UNKNOWN_TYPE, Machine
+from crosscleat.core.state.machine import UNKNOWN_TYPE, UNKNOWN_ZONE, Machine
 
 from .scale_out import ScaleOut
 
@@ -79,7 +79,7 @@
 
 def test_a_task_on_a_machine_not_described_yet_counts_in_every_zone() -> None:
     scale_out = ScaleOut()
-    unknown = Machine(MachineId("m-unknown"), UNKNOWN_TYPE, NOWHERE, False)
+    unknown = Machine(MachineId("m-unknown"), UNKNOWN_TYPE, UNKNOWN_ZONE, False)
     scale_out.leader.cluster.machines[unknown.id] = unknown
     array = scale_out.add_job("job-1", **spread(gang=False, tasks=3, cpus=LARGE_TASK))
     scale_out.place(array, unknown)
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -55,7 +55,7 @@
             or (spec.zone is not None and worker.zone != spec.zone)
             or (worker.spot and not spec.spot)
             or (spec.one_zone and any(zone != worker.zone for zone in places))
-            or (spec.spread and places.count(worker.zone) + 1 > spec.per_zone())
+            or (spec.spread and places.count(worker.zone) + 1 > spec.max_per_zone())
         )
         if wrong:
             raise RuleBrokenError(f"wrong_place: {task} on {worker.id}, others in {places}")
@@ -123,7 +123,7 @@
             and (spec.spot or not w.spot)
             and spec.zone in (None, w.zone)
             and not (spec.one_zone and any(zone != w.zone for zone in zones))
-            and not (spec.spread and zones.count(w.zone) >= spec.per_zone())
+            and not (spec.spread and zones.count(w.zone) >= spec.max_per_zone())
             and spec.cpus + sum(self.world.specs[t.job].cpus for other, t in held if other is w)
             <= w.machine_type.cpus
             for w in self.world.workers.values()
--- a/tests/world/store_calls.py
+++ b/tests/world/store_calls.py
@@ -114,7 +114,7 @@
             case Scan():
                 return self.world.store.listing(effect.prefix)
             case GrantLease():
-                return LeaseId(self.world.store.grant(effect.life_s))
+                return LeaseId(self.world.store.grant(effect.ttl_s))
             case RenewLease():
                 self.world.store.expire()
                 return LeaseRenewed() if self.world.store.renew(effect.lease) else NoSuchLease()
