--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,8 @@
-"""The packages of the core are layers: imports point towards `core.model`, never back."""
+"""The packages of the core are layers, and each imports only the layers below it.
+
+Guards against an import that makes a lower layer depend on a higher one, or the core depend on the
+code around it. The linter and the type checker don't report such imports.
+"""
 
 from __future__ import annotations
 
@@ -52,11 +56,11 @@
 
     imports = {path.name: core_packages(path) - allowed for path in files_below("core", layer)}
 
-    assert {name: found for name, found in imports.items() if found} == {}
+    assert {name: forbidden for name, forbidden in imports.items() if forbidden} == {}
 
 
 @pytest.mark.parametrize("layer", LAYERS)
-def test_a_package_of_the_core_says_what_it_owns_and_may_import(layer: str) -> None:
+def test_the_docstring_of_a_core_package_says_what_it_owns_and_may_import(layer: str) -> None:
     doc = ast.get_docstring(ast.parse((ROOT / "core" / layer / "__init__.py").read_text()))
 
     assert doc is not None
@@ -64,13 +68,13 @@
     assert "May import: " in doc
 
 
-def test_the_core_has_no_modules_beside_its_packages() -> None:
-    found = {path.name for path in (ROOT / "core").iterdir() if path.name != "__pycache__"}
+def test_the_core_has_only_packages() -> None:
+    entries = {path.name for path in (ROOT / "core").iterdir() if path.name != "__pycache__"}
 
-    assert found == {"__init__.py", *LAYERS}
+    assert entries == {"__init__.py", *LAYERS}
 
 
-def test_the_core_imports_nothing_of_the_outside() -> None:
+def test_the_core_imports_only_the_core() -> None:
     outside = {
         path.name: parts
         for path in files_below("core")
@@ -81,16 +85,16 @@
     assert outside == {}
 
 
-def test_messages_depend_on_the_model_alone() -> None:
+def test_wire_formats_import_only_the_model() -> None:
     imports = {
         path.name: [parts for parts in imported_modules(path) if parts[:2] != ("core", "model")]
         for path in files_below("wire")
     }
 
-    assert {name: found for name, found in imports.items() if found} == {}
+    assert {name: forbidden for name, forbidden in imports.items() if forbidden} == {}
 
 
-def test_the_modules_that_the_architecture_names_exist() -> None:
+def test_the_modules_that_the_architecture_page_names_exist() -> None:
     text = (ROOT.parent.parent / "docs" / "architecture.md").read_text()
     modules = [f"/{path.relative_to(ROOT)}" for path in ROOT.rglob("*.py")] + ["/run.py"]
     packages = [f"/{path.parent.relative_to(ROOT)}" for path in ROOT.rglob("__init__.py")]
@@ -113,7 +117,7 @@
         ("runtime", {"runtime", "adapters", "core", "wire", "settings"}),
     ],
 )
-def test_what_surrounds_the_core_imports_what_its_package_says(
+def test_the_packages_around_the_core_import_only_what_is_allowed(
     package: str, allowed: set[str]
 ) -> None:
     imports = {
@@ -121,10 +125,10 @@
         for path in files_below(package)
     }
 
-    assert {name: found for name, found in imports.items() if found} == {}
+    assert {name: forbidden for name, forbidden in imports.items() if forbidden} == {}
 
 
-def test_adapters_depend_on_the_model_and_not_on_decisions() -> None:
+def test_adapters_import_only_the_model_of_the_core() -> None:
     packages = {path.name: core_packages(path) - {"model"} for path in files_below("adapters")}
 
-    assert {name: found for name, found in packages.items() if found} == {}
+    assert {name: forbidden for name, forbidden in packages.items() if forbidden} == {}
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -1,4 +1,10 @@
-"""Messages as they come from outside: well-formed, with unknown fields, and malformed."""
+"""Messages at the system's boundaries: well-formed, with unknown fields, and malformed.
+
+Guards against a message that ends its handler with an unexpected exception, or is accepted
+although a field is missing or invalid. Such messages come from faulty senders; unknown fields and
+states come from later versions and must not make a message unreadable. Also guards against field
+names that are not encoded as the protocols require.
+"""
 
 from __future__ import annotations
 
@@ -23,12 +29,12 @@
 amounts = st.floats(0.0, 1e6, allow_nan=False)
 names = st.text(st.characters(codec="ascii", categories=("L", "N")), min_size=1, max_size=12)
 refs = names.map(lambda name: f"job-{name}")
-plain = st.recursive(
+plain_data = st.recursive(
     st.none() | st.booleans() | st.integers(0, 2**63) | st.floats(allow_nan=False) | st.text(),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(), inner, max_size=3),
     max_leaves=8,
 )
-works = st.fixed_dictionaries(
+submissions = st.fixed_dictionaries(
     {
         "ref": refs,
         "jobline": names,
@@ -60,45 +66,51 @@
     return msgspec.msgpack.encode(value)
 
 
-@given(works, st.dictionaries(names.map(lambda n: f"x-{n}"), plain, max_size=2))
-def test_a_job_is_read_whatever_else_its_body_holds(work: dict[str, Any], more: Any) -> None:
-    spec = users.parse_submission(pack({**more, **work}))
+@given(submissions, st.dictionaries(names.map(lambda n: f"x-{n}"), plain_data, max_size=2))
+def test_unknown_fields_of_a_submission_are_ignored(
+    submission: dict[str, Any], unknown: Any
+) -> None:
+    spec = users.parse_submission(pack({**unknown, **submission}))
     assert isinstance(spec, JobSpec)
-    assert (spec.ref, spec.tasks, spec.cpus) == (work["ref"], work["picks"], work["cores"])
-    assert spec.deadline_s == work.get("due_s")
+    assert (spec.ref, spec.tasks, spec.cpus) == (
+        submission["ref"],
+        submission["picks"],
+        submission["cores"],
+    )
+    assert spec.deadline_s == submission.get("due_s")
 
 
-@given(works)
-def test_a_job_survives_the_store(work: dict[str, Any]) -> None:
-    spec = users.parse_submission(pack(work))
+@given(submissions)
+def test_a_job_is_read_from_its_record_as_it_was_written(submission: dict[str, Any]) -> None:
+    spec = users.parse_submission(pack(submission))
     assert isinstance(spec, JobSpec)
     record = live_record(spec, WallTime(12.5), cancelled=False)
     assert spec_of(msgspec.msgpack.decode(pack(record))) == spec
 
 
-@given(works, st.data())
+@given(submissions, st.data())
 def test_a_body_with_a_missing_or_invalid_field_is_malformed(
-    work: dict[str, Any], data: st.DataObject
+    submission: dict[str, Any], data: st.DataObject
 ) -> None:
-    required = sorted(set(work) - {"rigs", "yard", "due_s"})
+    required = sorted(set(submission) - {"rigs", "yard", "due_s"})
     name = data.draw(st.sampled_from(required))
-    bad = dict(work)
+    malformed = dict(submission)
     if data.draw(st.booleans()):
-        del bad[name]
-    elif isinstance(work[name], bool):
-        bad[name] = data.draw(st.sampled_from((None, 1, "yes")))
-    elif isinstance(work[name], str):
-        bad[name] = data.draw(st.sampled_from((None, 7, ["array"])))
+        del malformed[name]
+    elif isinstance(submission[name], bool):
+        malformed[name] = data.draw(st.sampled_from((None, 1, "yes")))
+    elif isinstance(submission[name], str):
+        malformed[name] = data.draw(st.sampled_from((None, 7, ["array"])))
     else:
-        bad[name] = data.draw(st.sampled_from((None, "4", -1, math.inf, math.nan, -0.5)))
-    parsed = users.parse_submission(pack(bad))
-    ref = None if name == "ref" else JobRef(work["ref"])
+        malformed[name] = data.draw(st.sampled_from((None, "4", -1, math.inf, math.nan, -0.5)))
+    parsed = users.parse_submission(pack(malformed))
+    ref = None if name == "ref" else JobRef(submission["ref"])
 
     assert parsed == users.MalformedSubmission(ref)
 
 
-@given(st.binary(max_size=200) | plain.map(pack))
-def test_no_body_makes_the_parsers_fail(body: bytes) -> None:
+@given(st.binary(max_size=200) | plain_data.map(pack))
+def test_arbitrary_bodies_cause_only_decode_errors(body: bytes) -> None:
     assert not isinstance(users.parse_submission(body), JobSpec)
     assert workers.parse_heartbeat(body) is None
     decoders: tuple[Callable[[bytes], object], ...] = (
@@ -116,7 +128,7 @@
 
 
 MALFORMED = users.MalformedSubmission(JobRef("job-1"))
-SMALLEST = {
+MINIMAL_SUBMISSION = {
     "ref": "job-1", "jobline": "a", "crew": "t", "shape": "array", "urgency": "low",
     "picks": 1, "cores": 1.0, "gpus": 0.0, "memory_gb": 1.0, "kit": "i", "image_gb": 0.0,
     "together": False, "apart": False, "loaners": False, "expect_s": 1.0,
@@ -125,20 +137,20 @@
 
 
 def test_the_size_limit_counts_json() -> None:
-    work = SMALLEST
-    assert isinstance(users.parse_submission(pack(work)), JobSpec)
+    submission = MINIMAL_SUBMISSION
+    assert isinstance(users.parse_submission(pack(submission)), JobSpec)
     # 20,000 zeros take 20 kB packed and 40 kB as JSON; 40,000 take 80 kB.
-    assert isinstance(users.parse_submission(pack({**work, "x": [0] * 20_000})), JobSpec)
-    assert users.parse_submission(pack({**work, "x": [0] * 40_000})) == MALFORMED
+    assert isinstance(users.parse_submission(pack({**submission, "x": [0] * 20_000})), JobSpec)
+    assert users.parse_submission(pack({**submission, "x": [0] * 40_000})) == MALFORMED
 
 
 @pytest.mark.parametrize("ref", ["", "job-", "task-1", "job-a/b", "job-ü", "job-a b"])
-def test_other_names_are_no_jobs(ref: str) -> None:
+def test_invalid_job_ids_are_rejected(ref: str) -> None:
     assert TaskId.parse(f"{ref}/3") is None
 
 
 @given(refs, st.integers(0, 99_999))
-def test_a_task_is_named_after_its_job(ref: str, number: int) -> None:
+def test_a_task_id_is_parsed_from_its_text_form(ref: str, number: int) -> None:
     task = TaskId(JobRef(ref), number)
     assert TaskId.parse(str(task)) == task
 
@@ -166,15 +178,19 @@
 
 @pytest.mark.parametrize("shape", ["gang", "Service", "Ensemble", "", None, 1])
 def test_an_unknown_shape_is_malformed(shape: Any) -> None:
-    """The bench's `real` submits a service, which is on no page, and expects it to run."""
-    work = {**SMALLEST, "shape": shape}
-    assert users.parse_submission(pack(work)) == MALFORMED
-    ensemble = users.parse_submission(pack({**SMALLEST, "shape": "ensemble"}))
+    """Only known shapes are accepted.
+
+    `service` is one of them: the specification does not mention it, but the benchmark's `real`
+    submits such a job and expects it to run.
+    """
+    submission = {**MINIMAL_SUBMISSION, "shape": shape}
+    assert users.parse_submission(pack(submission)) == MALFORMED
+    ensemble = users.parse_submission(pack({**MINIMAL_SUBMISSION, "shape": "ensemble"}))
     assert isinstance(ensemble, JobSpec)
     assert ensemble.shape is Shape.GANG
 
 
-def test_a_gangs_heartbeat_says_what_waits_and_what_was_saved() -> None:
+def test_a_gangs_heartbeat_reports_waiting_and_saved_tasks() -> None:
     picks = [
         {"pick": "job-g/0", "try": 3, "status": "waiting"},
         {"pick": "job-g/1", "try": 3, "status": "exited", "cause": "stopped", "saved": True},
@@ -198,7 +214,7 @@
     assert not heartbeats.unknown_states_and_causes(heartbeat)
 
 
-def test_orders_are_written_in_the_protocols_words() -> None:
+def test_orders_are_encoded_with_the_names_of_the_protocol() -> None:
     orders: tuple[Order, ...] = (
         StartOrder("job-1/0", 2),
         StopOrder("job-1/1", 1, 10.0),
@@ -217,7 +233,7 @@
     }
 
 
-def test_transactions_are_written_in_the_protocols_words() -> None:
+def test_transactions_are_encoded_with_the_names_of_the_protocol() -> None:
     commit = Commit(
         (("a/b", Version(0)),),
         (Put("a/b", {"n": 1}, LeaseId(7)), Put("d", 2), Remove("c/d")),
@@ -255,14 +271,14 @@
         ),
     )
 )
-def test_peer_messages_survive_the_wire(message: peers.Message) -> None:
+def test_peer_messages_are_decoded_as_they_were_encoded(message: peers.Message) -> None:
     framed = peers.encode_frame(message)
     assert int.from_bytes(framed[:4], "big") == len(framed) - 4
     assert peers.decode_message(framed[4:]) == message
 
 
-@given(st.binary(max_size=60) | plain.map(pack))
-def test_no_peer_message_can_do_more_than_be_refused(body: bytes) -> None:
+@given(st.binary(max_size=60) | plain_data.map(pack))
+def test_arbitrary_peer_messages_cause_only_decode_errors(body: bytes) -> None:
     try:
         message = peers.decode_message(body)
     except msgspec.DecodeError:
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,10 @@
-"""What the leader keeps in the store, written by one term and read by the next."""
+"""The leader's records in the store, written by one leader and read by the next.
+
+Guards against a new leader that repeats done tasks, gives out an attempt number twice or forgets a
+decided deletion because a record did not keep it. Also guards against records and transactions that
+the store refuses because they exceed its limits, and against starts that are never recorded because
+others have a higher priority.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +38,7 @@
 TXN_OPS = 24
 
 
-def waiting(ref: str, **changes: Any) -> Job:
+def waiting_job(ref: str, **changes: Any) -> Job:
     return Job(job(ref, **changes), Version(1), NOW)
 
 
@@ -56,17 +62,19 @@
 
 @given(st.lists(st.integers(1, 3 * DEFAULT_CHUNK_LENGTH), min_size=1, max_size=12), st.data())
 def test_tasks_survive_a_failover(sizes: list[int], data: st.DataObject) -> None:
-    before = {JobRef(f"job-{n}"): waiting(f"job-{n}", tasks=size) for n, size in enumerate(sizes)}
+    before = {
+        JobRef(f"job-{n}"): waiting_job(f"job-{n}", tasks=size) for n, size in enumerate(sizes)
+    }
     records = PlacementRecords(VALUE_KB, TXN_OPS, True)
     for placed_job in before.values():
         for _ in range(data.draw(st.integers(0, min(placed_job.spec.tasks, 40)))):
             number, attempt = place(records, placed_job)
-            fate = data.draw(st.sampled_from(("runs", "done", "lost")))
-            if fate == "done":
+            outcome = data.draw(st.sampled_from(("runs", "done", "lost")))
+            if outcome == "done":
                 placed_job.finish(number)
-            elif fate == "lost":
+            elif outcome == "lost":
                 placed_job.requeue(number, None)
-            assert placed_job.is_current(number, attempt, MACHINE) == (fate == "runs")
+            assert placed_job.is_current(number, attempt, MACHINE) == (outcome == "runs")
     items = stored(records)
     ended = data.draw(st.sampled_from(sorted(before)))
     after = {
@@ -74,8 +82,8 @@
         for ref, placed_job in before.items()
         if ref != ended
     }
-    again = PlacementRecords(VALUE_KB, TXN_OPS, True)
-    again.load(items, after)
+    reloaded = PlacementRecords(VALUE_KB, TXN_OPS, True)
+    reloaded.load(items, after)
     for ref, placed_job in after.items():
         placed_job.finish_loading()
         old = before[ref]
@@ -87,24 +95,24 @@
             assert {i: t for i, t in chunk.attempts.items() if i in chunk.placed} == {
                 i: p.attempt for i, p in placed_job.chunks[number].placed.items()
             }
-            # An attempt's number is never given twice, in whatever term.
+            # No attempt number is given out twice, not even by different leaders.
             for index, attempt in chunk.attempts.items():
                 assert placed_job.chunks[number].attempts.get(index) == attempt or old.done[index]
 
-    assert all(ref != ended for r in again for ref, _ in r.entries)
+    assert all(ref != ended for r in reloaded for ref, _ in r.entries)
 
 
 @given(
     st.lists(st.tuples(st.integers(1, 3 * DEFAULT_CHUNK_LENGTH), st.integers(0, 60)), max_size=40)
 )
-def test_no_value_and_no_transaction_is_too_large(jobs: list[tuple[int, int]]) -> None:
+def test_records_and_transactions_stay_within_the_limits(jobs: list[tuple[int, int]]) -> None:
     records = PlacementRecords(VALUE_KB, TXN_OPS, True)
     for n, (tasks, placed) in enumerate(jobs):
-        placed_job = waiting(f"job-{n:0>60}", tasks=tasks)
+        placed_job = waiting_job(f"job-{n:0>60}", tasks=tasks)
         for index in range(min(tasks, 4 * placed)):
             place(records, placed_job)
             if index % 2:
-                # Every second task done: the longest form of what is done.
+                # If every second task is done, the encoded ranges of done tasks are longest.
                 placed_job.finish(index)
     for record in records:
         assert len(msgspec.json.encode(record.value())) <= VALUE_KB * 1024
@@ -119,18 +127,18 @@
     puts = [write for write in batch.writes if isinstance(write, Put)]
     assert len(puts) == len(batch.writes)
     assert len(msgspec.json.encode([put.value for put in puts])) <= 56 * 1024
-    for one_job, chunk, _ in batch.chunks:
-        assert not chunk.has_unrecorded() or one_job in batch.compared_jobs, (
-            "a start without its job compared"
+    for written_job, chunk, _ in batch.chunks:
+        assert not chunk.has_unrecorded() or written_job in batch.compared_jobs, (
+            "the live record of a starting job is not compared"
         )
 
 
-def test_urgent_starts_are_written_first_but_none_waits_for_ever() -> None:
+def test_starts_are_written_by_priority_unless_one_is_overdue() -> None:
     records = PlacementRecords(VALUE_KB, TXN_OPS, True)
-    slow = waiting("job-slow", tasks=DEFAULT_CHUNK_LENGTH, priority=Priority.LOW)
-    soon = waiting("job-soon", tasks=DEFAULT_CHUNK_LENGTH, priority=Priority.HIGH)
-    place(records, slow)
-    place(records, soon)
+    low = waiting_job("job-slow", tasks=DEFAULT_CHUNK_LENGTH, priority=Priority.LOW)
+    high = waiting_job("job-soon", tasks=DEFAULT_CHUNK_LENGTH, priority=Priority.HIGH)
+    place(records, low)
+    place(records, high)
     order = [[ref for ref, _ in r.entries] for r in records.awaited_by_starts(NOW)]
     assert order == [["job-soon"], ["job-slow"]]
 
@@ -139,9 +147,9 @@
     assert order == [["job-slow"], ["job-soon"]]
 
 
-def test_a_record_without_jobs_is_to_be_removed_and_takes_no_more() -> None:
+def test_a_record_without_jobs_is_removed_and_gets_no_new_chunks() -> None:
     records = PlacementRecords(VALUE_KB, TXN_OPS, True)
-    placed_job = waiting("job-1")
+    placed_job = waiting_job("job-1")
     place(records, placed_job)
     (record,) = records
     records.remove_job(placed_job)
@@ -149,7 +157,7 @@
     assert record.size == 0
 
     record.removal_pending = True
-    other = waiting("job-2")
+    other = waiting_job("job-2")
     place(records, other)
     assert len(list(records)) == 2
     assert records.deferrable() != [record]
@@ -161,14 +169,14 @@
     put = record.put_with([MachineId("m-1"), MachineId("m-2")])
     record.machine_ids.update({MachineId("m-1"): None, MachineId("m-2"): None})
     record.version = Version(5)
-    later = DecommissionRecords(VALUE_KB)
-    assert later.load([Item(put.key, put.value, Version(5))]) == ["m-1", "m-2"]
-    assert later.remove_machine_id(MachineId("m-1")) is None
+    reloaded = DecommissionRecords(VALUE_KB)
+    assert reloaded.load([Item(put.key, put.value, Version(5))]) == ["m-1", "m-2"]
+    assert reloaded.remove_machine_id(MachineId("m-1")) is None
 
-    empty = later.remove_machine_id(MachineId("m-2"))
+    empty = reloaded.remove_machine_id(MachineId("m-2"))
     assert empty is not None
     assert empty.version == 5
 
-    fresh, _ = later.record_with_capacity()
+    fresh, _ = reloaded.record_with_capacity()
     assert fresh.version == ABSENT
     assert fresh.key != put.key
--- a/tests/test_same_effects.py
+++ b/tests/test_same_effects.py
@@ -1,9 +1,9 @@
-"""The same drawn days have the same effects, whatever Python's hash seed is.
+"""The same randomly generated days have the same effects under any of Python's hash seeds.
 
-What happened: a known failure is listed with a command and a seed, but the same command could play
-another day: a set of machine ids, which are strings, was gone through where direct commands are
-sent, so that their order, and with it all random numbers after them, followed the hash seed of the
-interpreter. The same was so of the stops of unknown attempts and of records that are rewritten.
+Guards against a listed failure that can't be reproduced with its command and seed. Direct commands
+were sent in the iteration order of a set of machine ids, which are strings, so their order and all
+random numbers drawn afterwards depended on the interpreter's hash seed. Stop orders for unknown
+attempts and rewritten records had the same fault.
 """
 
 from __future__ import annotations
@@ -36,13 +36,13 @@
 ROOT = Path(__file__).parent.parent
 HASH_SEEDS = ("0", "1", "2", "3")
 DAYS = ("3", "6", "40")
-"""The seed that draws the days, how many there are, and the actions of each."""
+"""Arguments of `tests.effect_trace`: the seed, the number of days, and the actions in each day."""
 MIN_EFFECTS = 5_000
-"""Fewer would show too little."""
+"""A shorter trace would cover too few of the decisions."""
 
 
 def start_trace(hash_seed: str, output: Path) -> subprocess.Popen[bytes]:
-    """A fresh interpreter that writes the effects of the days."""
+    """Start a new interpreter that writes the effects of the days to the file."""
     with output.open("wb") as stdout:
         return subprocess.Popen(
             [sys.executable, "-m", "tests.effect_trace", *DAYS],
@@ -65,39 +65,45 @@
         assert len(other) == len(first)
 
 
-def test_orders_to_stop_unknown_attempts_follow_the_heartbeat() -> None:
-    names = [f"job-{number}" for number in range(20)]
-    tasks = tuple(TaskStatus(TaskId(JobRef(name), 0), Attempt(1), RUNNING, None) for name in names)
+def test_stops_of_unknown_attempts_are_in_the_order_of_the_heartbeat() -> None:
+    job_ids = [f"job-{number}" for number in range(20)]
+    tasks = tuple(
+        TaskStatus(TaskId(JobRef(job_id), 0), Attempt(1), RUNNING, None) for job_id in job_ids
+    )
     term = Term()
 
     effects = term.receive_heartbeat((1, 1), tasks=tasks)
 
-    (answer,) = [effect for effect in effects if isinstance(effect, HeartbeatResponse)]
-    stopped = [order.task for order in answer.orders if isinstance(order, StopOrder)]
-    assert stopped == [f"{name}/0" for name in names]
+    (response,) = [effect for effect in effects if isinstance(effect, HeartbeatResponse)]
+    stopped = [order.task for order in response.orders if isinstance(order, StopOrder)]
+    assert stopped == [f"{job_id}/0" for job_id in job_ids]
 
 
-def test_direct_commands_go_out_in_the_order_in_which_they_were_asked_for() -> None:
+def test_direct_commands_are_sent_in_the_order_of_their_requests() -> None:
     pending = PendingWork()
-    names = [MachineId(f"m-{number}") for number in (3, 1, 4, 15, 9, 2, 6)]
+    machine_ids = [MachineId(f"m-{number}") for number in (3, 1, 4, 15, 9, 2, 6)]
 
-    for name in (*names, names[0]):
-        pending.send_soon(name)
+    for machine_id in (*machine_ids, machine_ids[0]):
+        pending.send_soon(machine_id)
 
-    assert list(pending.direct_targets) == names
+    assert list(pending.direct_targets) == machine_ids
 
 
-def test_records_that_are_rewritten_are_put_in_the_order_of_their_jobs() -> None:
-    # The other chunk length is that of smaller values: each chunk is rewritten in our own.
-    jobs = {spec.ref: Job(spec, Version(1), Seconds(0.0)) for spec in map(long_job, range(12))}
+def test_rewritten_records_are_in_the_order_of_their_jobs() -> None:
+    # A smaller limit for values gives a shorter chunk length, so that each chunk is rewritten.
+    jobs = {
+        spec.ref: Job(spec, Version(1), Seconds(0.0)) for spec in map(job_of_many_tasks, range(12))
+    }
     before = PlacementRecords(2.0, 8, True)
-    for waiting in jobs.values():
-        waiting.place(MachineId("m-0"), AgentEpoch(1))
-        before.record_for(waiting, waiting.chunk_of(0))
+    for placed_job in jobs.values():
+        placed_job.place(MachineId("m-0"), AgentEpoch(1))
+        before.record_for(placed_job, placed_job.chunk_of(0))
     stored = [
         Item(record.key, record.value(), Version(number)) for number, record in enumerate(before, 1)
     ]
-    loaded = {ref: Job(found.spec, Version(1), Seconds(0.0)) for ref, found in jobs.items()}
+    loaded = {
+        ref: Job(placed_job.spec, Version(1), Seconds(0.0)) for ref, placed_job in jobs.items()
+    }
     after = PlacementRecords(16.0, 8, True)
 
     after.load(stored, loaded)
@@ -106,5 +112,5 @@
     assert rewritten == list(jobs)
 
 
-def long_job(number: int) -> JobSpec:
+def job_of_many_tasks(number: int) -> JobSpec:
     return job(f"job-{number}", tasks=100)
--- a/tests/test_stored_placements.py
+++ b/tests/test_stored_placements.py
@@ -1,4 +1,9 @@
-"""The stored form of placement records is read with tolerance for what later versions add."""
+"""Reading the stored form of placement records, also with fields that later versions add.
+
+Guards against a leader that can't read the records of another version, or that misreads the chunk
+length and so assigns tasks to the wrong chunk. Both can happen during an upgrade, when controllers
+of different versions lead in turn. A record of any other form must be an error.
+"""
 
 from __future__ import annotations
 
