--- a/src/crosscleat/core/model/job_spec.py
+++ b/src/crosscleat/core/model/job_spec.py
@@ -29,8 +29,8 @@
     SERVICE = 2
     """Tasks that are run like those of an array.
 
-    The specification does not mention this shape, but the benchmark submits such a job and expects
-    it to run (`docs/questions.md`).
+    The platform's documentation does not mention this shape, but the benchmark submits such a job
+    and expects it to run (`docs/questions.md`).
     """
 
 
--- a/src/crosscleat/core/state/placement_records.py
+++ b/src/crosscleat/core/state/placement_records.py
@@ -67,7 +67,10 @@
         return f"{PLACEMENTS}{self.number}"
 
     def mark_changed(self, priority: Priority | None, now: Seconds) -> None:
-        """Mark the record as changed; `priority`: of a start that waits for the write, if any."""
+        """Mark the record as changed.
+
+        `priority` is that of a start that waits until the record is written, or None.
+        """
         self.dirty = True
         if priority is None:
             return
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -180,8 +180,8 @@
 def test_an_unknown_shape_is_malformed(shape: Any) -> None:
     """Only known shapes are accepted.
 
-    `service` is one of them: the specification does not mention it, but the benchmark's `real`
-    submits such a job and expects it to run.
+    `service` is one of them: the platform's documentation does not mention it, but the benchmark's
+    `real` submits such a job and expects it to run.
     """
     submission = {**MINIMAL_SUBMISSION, "shape": shape}
     assert users.parse_submission(pack(submission)) == MALFORMED
