--- a/src/crosscleat/core/capacity/deletions.py
+++ b/src/crosscleat/core/capacity/deletions.py
@@ -111,7 +111,7 @@
             if now - deleted_at <= DECOMMISSION_RECORD_S:
                 break
             self._recorded_deletions.popleft()
-            empty = self._records.remove_name(machine_id)
+            empty = self._records.remove_machine_id(machine_id)
             if empty is not None and empty.version:
                 empty_records.append((empty.key, empty.version))
         return empty_records
--- a/src/crosscleat/core/control/heartbeat_processing.py
+++ b/src/crosscleat/core/control/heartbeat_processing.py
@@ -10,7 +10,7 @@
 from ..capacity.decommissioning import Decommissioner
 from ..capacity.machines import Machines
 from ..election.term import LeadingTerm
-from ..model.heartbeats import Heartbeat, unknown_words
+from ..model.heartbeats import Heartbeat, unknown_states_and_causes
 from ..state.cluster import ClusterState
 from ..state.machine import Machine
 from .attempts import Attempts
@@ -86,7 +86,8 @@
         loss, or the epochs have restarted after it.
         """
         return (
-            heartbeat.heartbeat_id <= machine.heartbeat_id or heartbeat.token < machine.shown_token
+            heartbeat.heartbeat_id <= machine.heartbeat_id
+            or heartbeat.token < machine.reported_token
         )
 
     def apply(self, machine: Machine, heartbeat: Heartbeat, is_direct_reply: bool) -> None:
@@ -129,7 +130,7 @@
             machine.heartbeat_sequence = heartbeat.heartbeat_id.sequence
         elif new_epoch:
             machine.heartbeat_sequence = 0
-        machine.shown_token = max(machine.shown_token, heartbeat.token)
+        machine.reported_token = max(machine.reported_token, heartbeat.token)
         if heartbeat.token >= self._term.initial_token:
             # The worker has received a message of this term, so this is no copy from before it.
             machine.confirmed_in_term = True
@@ -154,7 +155,7 @@
 
     def _log_unknown_words(self, heartbeat: Heartbeat) -> None:
         """Log each unknown state or cause once; newer workers may use more of them."""
-        unknown = unknown_words(heartbeat) - self._unknown_words
+        unknown = unknown_states_and_causes(heartbeat) - self._unknown_words
         if unknown and len(self._unknown_words) < MAX_UNKNOWN_WORDS:
             self._unknown_words |= unknown
             words = ", ".join(repr(word[:40]) for word in sorted(unknown)[:5])
--- a/src/crosscleat/core/scheduling/ranking.py
+++ b/src/crosscleat/core/scheduling/ranking.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from ..model.ids import JobRef, Seconds, TypeName
-from ..model.quantities import ROUNDING
+from ..model.quantities import ROUNDING_TOLERANCE
 from ..state.jobs import Job
 from .feasibility import Feasibility
 from .free_capacity import FreeCapacity
@@ -33,7 +33,7 @@
 
     Most machines are full. They are left out here so that they are neither scored nor sampled.
     """
-    min_cpus = min(job.spec.cpus for job in waiting) - ROUNDING
+    min_cpus = min(job.spec.cpus for job in waiting) - ROUNDING_TOLERANCE
     selected = [candidate for candidate in candidates if candidate.cpus >= min_cpus]
     for candidate in selected:
         images = candidate.machine.images.ready_at.values()
