--- a/src/crosscleat/adapters/__init__.py
+++ b/src/crosscleat/adapters/__init__.py
@@ -1,5 +1,5 @@
-"""Sockets, timers and clients of other processes; each adapter translates, none decides.
+"""Servers and clients for other processes, with sockets and timers; no scheduling decisions here.
 
-Owns the connections, their timeouts and retries, and this controller's share of rate limits.
+Owns connections, timeouts, retries, and this controller's share of the rate limits.
 May import: core.model, wire.
 """
--- a/src/crosscleat/adapters/background.py
+++ b/src/crosscleat/adapters/background.py
@@ -1,4 +1,4 @@
-"""Tasks that nobody waits for: a failure of one is logged and ends nothing else."""
+"""Background tasks: a failed task is logged and does not affect the others."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class BackgroundTasks:
-    """Keeps a reference to each task until it ends, as the event loop itself does not.
+    """Starts tasks and keeps a reference to each until it ends; the event loop does not.
 
-    A task group does not serve here: one failed call must not cancel the others.
+    A task group is not used because one failed task would cancel the others.
     """
 
     def __init__(self, log: Logger) -> None:
         self._log = log
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def start(self, work: Coroutine[Any, Any, None]) -> None:
+    def start(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Run the coroutine as a task; needs a running event loop."""
-        task = asyncio.get_running_loop().create_task(work)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._finish)
+        task.add_done_callback(self._on_done)
 
-    def _finish(self, task: asyncio.Task[None]) -> None:
+    def _on_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self._log.error("a task in the background failed", exc_info=task.exception())
+            self._log.error("background task failed", exc_info=task.exception())
--- a/src/crosscleat/adapters/clock.py
+++ b/src/crosscleat/adapters/clock.py
@@ -1,4 +1,4 @@
-"""The clocks of this process: the steady one, which no adjustment moves, and the time of day."""
+"""The clocks of this process: a monotonic clock and the wall clock."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from ..core.model.ids import Seconds, WallTime
 
 
-def steady() -> Seconds:
-    """Seconds on the steady clock; they compare within this process only."""
+def monotonic_time() -> Seconds:
+    """Seconds on a clock that is never adjusted; comparable within this process only."""
     return Seconds(time.monotonic())
 
 
-def wall() -> WallTime:
-    """The time of day, in seconds since 1970."""
+def wall_time() -> WallTime:
+    """Unix time in seconds."""
     return WallTime(time.time())
--- a/src/crosscleat/adapters/cloud_client.py
+++ b/src/crosscleat/adapters/cloud_client.py
@@ -1,4 +1,4 @@
-"""The client of the cloud's API: machine types, the machine list, rental and deletion."""
+"""Client of the cloud API: lists machine types and machines, rents and deletes machines."""
 
 from __future__ import annotations
 
@@ -23,13 +23,14 @@
 TIMEOUT_S = 5.0
 MACHINES_PER_PAGE = 500
 RETRY_PAUSE_S = 0.5
-"""Before the controller learns of an unclear rental, which it then repeats at once."""
+"""Wait before a rental with an unexpected status is reported as unanswered, because the controller
+repeats it immediately."""
 
 log = logging.getLogger("crosscleat.cloud")
 
 
 class CloudClient:
-    """Calls to the cloud's API, one request each but for the machine list."""
+    """Calls to the cloud API; each is one request, except for the paged machine list."""
 
     def __init__(self, session: aiohttp.ClientSession, address: str) -> None:
         self._endpoint = HttpEndpoint(session, address, log)
@@ -39,20 +40,20 @@
     ) -> HttpResponse | None:
         return await self._endpoint.request(method, path, body, TIMEOUT_S)
 
-    async def types(self) -> list[MachineType] | None:
-        """The machine types with their present prices; None: not known."""
+    async def list_machine_types(self) -> list[MachineType] | None:
+        """The machine types with their current prices; None if the request failed."""
         response = await self._request("GET", "/machine_types")
         if response is None or response.status != 200:
             return None
         try:
             return wire.decode_machine_types(response.body)
         except msgspec.DecodeError as error:
-            log.error("unreadable machine types: %s", error)
+            log.error("cannot decode the machine types: %s", error)
             return None
 
-    async def machines(self) -> list[ListedMachine] | None:
-        """The whole machine list, page by page; None: not known, not even in part."""
-        found: list[ListedMachine] = []
+    async def list_machines(self) -> list[ListedMachine] | None:
+        """The complete machine list, read page by page; None if the request for any page failed."""
+        machines: list[ListedMachine] = []
         after = ""
         while True:
             path = f"/rentals?limit={MACHINES_PER_PAGE}" + (f"&after={after}" if after else "")
@@ -62,15 +63,15 @@
             try:
                 page = wire.decode_machine_page(response.body)
             except msgspec.DecodeError as error:
-                log.error("unreadable machine list: %s", error)
+                log.error("cannot decode the machine list: %s", error)
                 return None
-            found.extend(page.machines)
+            machines.extend(page.machines)
             if not page.more or not page.machines:
-                return found
+                return machines
             after = page.machines[-1].id
 
     async def rent(self, call: Rent) -> RentalOutcome:
-        """Rent machines; unanswered if the request failed, timed out or met an unknown status."""
+        """Rent machines; unanswered after an error, a timeout or an unexpected status."""
         response = await self._request("POST", "/rentals", wire.encode_rental(call))
         if response is None:
             return RentalUnanswered()
@@ -78,18 +79,18 @@
             try:
                 return Rented(wire.decode_rental(response.body))
             except msgspec.DecodeError as error:
-                log.error("unreadable rental: %s", error)
+                log.error("cannot decode the rental response: %s", error)
                 return RentalUnanswered()
         if response.status == 503 and b"no capacity" in response.body:
             return RentalRefused()
         if response.status == 400:
-            log.error("rental refused as malformed: %s", call)
+            log.error("the cloud rejected a rental request as malformed: %s", call)
             return RentalRefused()
         await asyncio.sleep(RETRY_PAUSE_S)
         return RentalUnanswered()
 
     async def delete(self, call: DeleteMachines) -> bool:
-        """Whether the cloud confirmed that the machines have been deleted."""
+        """Delete machines; True if the cloud confirmed the deletion."""
         response = await self._request(
             "POST", "/rentals/delete", wire.encode_deletion(call.machines)
         )
--- a/src/crosscleat/adapters/commit_queue.py
+++ b/src/crosscleat/adapters/commit_queue.py
@@ -1,4 +1,4 @@
-"""Group commit: waiting transactions are sent as one where the store's limits admit it."""
+"""Group commit: combines queued transactions into one, within the limits of the store."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from ..core.model.store_calls import Commit, CommitOutcome, Conflict, Put, Unanswered
 
 MAX_BYTES = 48_000
-"""Of one request's values; the store's limit counts JSON."""
+"""Maximum size of the values in one request as JSON, which is what the store's limit counts."""
 BYTES_PER_WRITE = 100
-"""Allowance for a key and what surrounds a value."""
+"""Estimated size of a write without its value: the key and the JSON syntax."""
 CONDITIONS_PER_OPERATION = 4
 
 SendTransaction = Callable[[list[Commit]], Awaitable[CommitOutcome]]
 
 
-class _Waiting(msgspec.Struct, frozen=True):
+class _QueuedCommit(msgspec.Struct, frozen=True):
     commit: Commit
     outcome: asyncio.Future[CommitOutcome]
 
     def keys(self) -> set[str]:
-        """The keys of its conditions."""
+        """The keys that the commit's conditions refer to."""
         return {key for key, _ in self.commit.conditions}
 
     def size(self) -> int:
-        """Bytes in a request, about."""
+        """Approximate number of bytes that the commit adds to a request."""
         return sum(
             len(msgspec.json.encode(write.value)) + BYTES_PER_WRITE
             for write in self.commit.writes
@@ -37,37 +37,37 @@
 
 
 class CommitQueue:
-    """Sends one transaction at a time; those that users wait for share one where possible.
+    """Sends one transaction at a time; commits that users wait for are combined where possible.
 
-    A transaction is all or nothing. If conditions fail, the commits whose own conditions failed
-    get that outcome, and the others are sent again.
+    A transaction is atomic. After a conflict, the commits whose own conditions failed get that
+    outcome, and the others are queued again.
     """
 
     def __init__(self, send: SendTransaction, max_operations: int) -> None:
         self._send = send
         self._max_operations = max_operations
-        self._queue: deque[_Waiting] = deque()
+        self._queue: deque[_QueuedCommit] = deque()
         self._wake = asyncio.Event()
 
     async def commit(self, call: Commit) -> CommitOutcome:
-        """Queue the transaction and wait for its outcome."""
+        """Queue a commit and wait for its outcome."""
         future: asyncio.Future[CommitOutcome] = asyncio.get_running_loop().create_future()
-        self._queue.append(_Waiting(call, future))
+        self._queue.append(_QueuedCommit(call, future))
         self._wake.set()
         return await future
 
     async def run(self) -> None:
-        """Send what is queued until cancelled."""
+        """Send queued commits until cancelled."""
         while True:
             await self._wake.wait()
             self._wake.clear()
             while self._queue:
                 batch = self._next_batch()
-                outcome = await self._send([waiting.commit for waiting in batch])
+                outcome = await self._send([queued.commit for queued in batch])
                 self._distribute(batch, outcome)
 
-    def _next_batch(self) -> list[_Waiting]:
-        """The first in the queue and, if a user waits for it, those after it that fit."""
+    def _next_batch(self) -> list[_QueuedCommit]:
+        """The first queued commit and, if a user waits for it, the following ones that fit."""
         first = self._queue.popleft()
         batch = [first]
         if not first.commit.for_user:
@@ -77,33 +77,34 @@
         size = first.size()
         while self._queue:
             candidate = self._queue[0]
-            more_keys = candidate.keys()
+            candidate_keys = candidate.keys()
             size += candidate.size()
             if (
                 writes + len(candidate.commit.writes) > self._max_operations
-                or len(keys) + len(more_keys) > CONDITIONS_PER_OPERATION * self._max_operations
+                or len(keys) + len(candidate_keys) > CONDITIONS_PER_OPERATION * self._max_operations
                 or size > MAX_BYTES
-                or more_keys & keys
+                or candidate_keys & keys
             ):
                 break
             batch.append(self._queue.popleft())
-            keys |= more_keys
+            keys |= candidate_keys
             writes += len(candidate.commit.writes)
         return batch
 
-    def _distribute(self, batch: list[_Waiting], outcome: CommitOutcome) -> None:
+    def _distribute(self, batch: list[_QueuedCommit], outcome: CommitOutcome) -> None:
         if not isinstance(outcome, Conflict) or len(batch) == 1:
-            for waiting in batch:
-                waiting.outcome.set_result(outcome)
+            for queued in batch:
+                queued.outcome.set_result(outcome)
             return
-        again = []
-        for waiting in batch:
-            failed = outcome.failed & waiting.keys()
+        retried = []
+        for queued in batch:
+            failed = outcome.failed & queued.keys()
             if failed:
-                waiting.outcome.set_result(Conflict(failed, outcome.repeated))
+                queued.outcome.set_result(Conflict(failed, outcome.repeated))
             else:
-                again.append(waiting)
-        if len(again) == len(batch):
-            # The store named no key of these: without the first, each next batch is another one.
-            again.pop(0).outcome.set_result(Unanswered())
-        self._queue.extendleft(reversed(again))
+                retried.append(queued)
+        if len(retried) == len(batch):
+            # The store reported no key of this batch. Giving up the first commit ensures that the
+            # same batch is not sent forever.
+            retried.pop(0).outcome.set_result(Unanswered())
+        self._queue.extendleft(reversed(retried))
--- a/src/crosscleat/adapters/deadline.py
+++ b/src/crosscleat/adapters/deadline.py
@@ -1,8 +1,8 @@
-"""A time limit that a standstill of the process does not use up.
+"""A timeout that tolerates a suspension of the process.
 
-A process may be suspended, or wait for a processor. When it goes on, its timers fire before what
-has arrived meanwhile is read. A limit whose timer fires late is therefore put off for a moment,
-a few times at most.
+A process may be suspended, or wait for a processor. When it resumes, the event loop runs expired
+timers before it reads data that arrived in the meantime. A timeout whose timer fires late is
+therefore extended by a grace period, a limited number of times.
 """
 
 from __future__ import annotations
@@ -10,24 +10,24 @@
 import asyncio
 from types import TracebackType
 
-LATE_S = 0.05
-"""A timer that fires so much too late shows that the process stood still, or was busy."""
+LATE_THRESHOLD_S = 0.05
+"""A timer that fires later than this shows that the process was suspended or busy."""
 
-GRACE_S = 0.5
-"""For so long what has arrived is read before the limit applies."""
+GRACE_PERIOD_S = 0.5
+"""Grace period in which data that has already arrived is read."""
 
-MAX_GRACES = 3
-"""A process that is always late keeps to its limits in the end."""
+MAX_GRACE_PERIODS = 3
+"""Bounds the total extension in a process whose timers are always late."""
 
 
 class Deadline:
-    """An asynchronous context that raises TimeoutError after `timeout_s`, as asyncio.timeout."""
+    """Asynchronous context manager that raises TimeoutError after `timeout_s`."""
 
     def __init__(self, timeout_s: float) -> None:
-        """The time runs from the entry into the context."""
+        """Create the context manager; the timeout starts when the context is entered."""
         self._timeout_s = timeout_s
         self._scope = asyncio.timeout(None)
-        self._graces = 0
+        self._grace_periods = 0
 
     async def __aenter__(self) -> None:
         await self._scope.__aenter__()
@@ -40,18 +40,18 @@
         traceback: TracebackType | None,
     ) -> None:
         self._timer.cancel()
-        # It raises TimeoutError in place of the cancellation by which it ended the context.
+        # Converts the cancellation that the timeout caused into a TimeoutError.
         await self._scope.__aexit__(error_type, error, traceback)
 
     def _set_timer(self, delay_s: float) -> None:
         loop = asyncio.get_running_loop()
-        self._due = loop.time() + delay_s
-        self._timer = loop.call_at(self._due, self._elapsed)
+        self._due_at = loop.time() + delay_s
+        self._timer = loop.call_at(self._due_at, self._on_timer)
 
-    def _elapsed(self) -> None:
+    def _on_timer(self) -> None:
         now = asyncio.get_running_loop().time()
-        if now - self._due > LATE_S and self._graces < MAX_GRACES:
-            self._graces += 1
-            self._set_timer(GRACE_S)
+        if now - self._due_at > LATE_THRESHOLD_S and self._grace_periods < MAX_GRACE_PERIODS:
+            self._grace_periods += 1
+            self._set_timer(GRACE_PERIOD_S)
         else:
             self._scope.reschedule(now)
--- a/src/crosscleat/adapters/health.py
+++ b/src/crosscleat/adapters/health.py
@@ -1,63 +1,63 @@
-"""Whom the key-value store serves, as far as this controller and its peers know."""
+"""Detects that the key-value store serves other controllers but not this one."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
 from ..wire.peers import Ping
-from .clock import steady
+from .clock import monotonic_time
 
 PING_INTERVAL_S = 1.0
-"""Seconds between two pings of a controller to each of its peers."""
+"""Interval in seconds at which a controller pings each of its peers."""
 MIN_OUTAGE_S = 2.5
-"""Shorter outages are left to retries."""
+"""Shorter outages are bridged by retries."""
 ISOLATED_AFTER_S = 8.0
-"""Without a ping; longer than the peers are away when all end at once and start again."""
+"""Time without a ping from any peer; longer than a simultaneous restart of all peers takes."""
 
 
 class StoreStatus(Protocol):
-    """What the client of the key-value store says about it."""
+    """The availability of the key-value store, as its client sees it."""
 
     @property
     def is_available(self) -> bool:
         """Whether the store answered the last request."""
 
     def outage_s(self) -> float:
-        """For how many seconds it has not served this controller; 0 while it does."""
+        """Seconds since the store stopped serving this controller; 0 while it serves it."""
 
 
 class Health:
-    """Compares the store's service for this controller with that for its peers."""
+    """Compares whether the store serves this controller with whether it serves the peers."""
 
     def __init__(self, store: StoreStatus, has_peers: bool = True) -> None:
         self._store = store
         self._has_peers = has_peers
         self._served_at: dict[str, float] = {}
-        """When a peer last said that the store serves it."""
-        self._last_ping_at = steady()
+        """Time of the last ping in which the peer reported that the store serves it."""
+        self._last_ping_at = monotonic_time()
 
     def ping(self) -> Ping:
-        """What this controller tells its peers."""
+        """The ping that this controller sends to its peers."""
         return Ping(self._store.is_available)
 
     def receive_ping(self, peer: str, ping: Ping) -> None:
-        """Note whether the store serves the peer."""
-        self._last_ping_at = steady()
+        """Record whether the store serves the peer."""
+        self._last_ping_at = monotonic_time()
         if ping.served:
-            self._served_at[peer] = steady()
+            self._served_at[peer] = monotonic_time()
         else:
             self._served_at.pop(peer, None)
 
-    def is_cut_off(self) -> bool:
-        """Whether users are better off with other controllers: those are served, this one is not.
+    def is_isolated(self) -> bool:
+        """Whether users should go to other controllers: the store serves those but not this one.
 
-        In an outage of all, the others find out a little later than this one does, or earlier. A
-        controller that reaches neither the store nor any peer has to assume that it is cut off.
+        In an outage that affects all, controllers detect it at slightly different times. A
+        controller that reaches neither the store nor any peer must assume that it is isolated.
         """
         outage_s = self._store.outage_s()
         if outage_s < MIN_OUTAGE_S:
             return False
-        now = steady()
+        now = monotonic_time()
         if self._has_peers and now - self._last_ping_at > ISOLATED_AFTER_S:
             return True
         return any(
--- a/src/crosscleat/adapters/peer_link.py
+++ b/src/crosscleat/adapters/peer_link.py
@@ -1,4 +1,4 @@
-"""The link that this controller opens to one other controller."""
+"""The outgoing connection from this controller to one other controller."""
 
 from __future__ import annotations
 
@@ -11,21 +11,22 @@
 from ..wire.workers import HeartbeatReply
 from .deadline import Deadline
 from .health import PING_INTERVAL_S, Health
-from .peer_frames import RELAY_TIMEOUT_S, receive
+from .peer_frames import RELAY_TIMEOUT_S, receive_message
 
 CONNECT_TIMEOUT_S = 2.0
 MAX_BUFFERED = 1 << 20
-"""Bytes that may wait to be sent; what comes on top is dropped."""
+"""Limit of unsent bytes; further messages are dropped above it."""
 PROMPT_RETRY_S = 0.02
 MIN_RETRY_S, RETRY_JITTER_S = 0.3, 0.4
 
 log = logging.getLogger("crosscleat.peers")
 
 
-class Link:
-    """A TCP connection to one peer, opened again whenever it ends.
+class PeerLink:
+    """A TCP connection to one peer, reopened whenever it ends.
 
-    Relayed heartbeats and one-way messages go out; replies to the heartbeats and pings come in.
+    Sends relayed heartbeats, pings and one-way messages; receives replies to the heartbeats and
+    pings.
     """
 
     def __init__(self, member: str, peer: str, address: str, rng: Random, health: Health) -> None:
@@ -36,33 +37,33 @@
         self._rng = rng
         self._health = health
         self._writer: asyncio.StreamWriter | None = None
-        self._relays: dict[int, asyncio.Future[HeartbeatReply | None]] = {}
+        self._pending_relays: dict[int, asyncio.Future[HeartbeatReply | None]] = {}
         self._last_number = 0
 
     @property
     def is_open(self) -> bool:
-        """Whether the link is open."""
+        """Whether there is a connection to the peer."""
         return self._writer is not None
 
     def send(self, message: wire.Message) -> bool:
-        """Queue a message; False: the link is down, its queue is full or the message too long."""
+        """Queue a message; False if the link is down, its buffer full or the message too long."""
         writer = self._writer
         if writer is None or writer.transport.get_write_buffer_size() > MAX_BUFFERED:
             return False
         try:
             writer.write(wire.encode_frame(message))
         except wire.FrameTooLongError as error:
-            # The receiver would close the link, and with it end all relays.
-            log.error("not sent to %s: %s", self._peer, error)
+            # The receiver would close the link, which would end all pending relays.
+            log.error("message to %s not sent: %s", self._peer, error)
             return False
         return True
 
     async def relay(self, body: bytes) -> HeartbeatReply | None:
-        """The peer's reply to a worker's heartbeat; None: there was none in time."""
+        """Relay a worker's heartbeat to the peer; None if there was no reply in time."""
         self._last_number += 1
         number = self._last_number
         future: asyncio.Future[HeartbeatReply | None] = asyncio.get_running_loop().create_future()
-        self._relays[number] = future
+        self._pending_relays[number] = future
         try:
             if not self.send(wire.Relay(number, body)):
                 return None
@@ -71,13 +72,13 @@
         except TimeoutError:
             return None
         finally:
-            del self._relays[number]
+            del self._pending_relays[number]
 
     async def run(self, on_unreachable: Callable[[str], None]) -> None:
         """Keep the link open until cancelled.
 
         `on_unreachable` is called with the peer's name if the peer refuses a connection right
-        after the link was lost: its process has ended, whereas a partition would not answer.
+        after the link was lost: its process has ended. In a partition there is no response.
         """
         was_open = False
         while True:
@@ -91,35 +92,38 @@
             except (OSError, TimeoutError):
                 was_open = False
             else:
-                await self._use(reader, writer)
+                await self._exchange_messages(reader, writer)
                 was_open = True
-            # After a loss the next attempt follows at once: a refusal tells a crash from a cut.
+            # Reconnect promptly after a loss: a refused connection distinguishes a crash from a
+            # network partition.
             await asyncio.sleep(PROMPT_RETRY_S if was_open else self._retry_pause_s())
 
     def _retry_pause_s(self) -> float:
         return MIN_RETRY_S + RETRY_JITTER_S * self._rng.random()
 
-    async def _use(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _exchange_messages(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         """Exchange messages until the connection ends."""
         writer.write(wire.encode_frame(wire.Hello(self._member)))
         self._writer = writer
         pings = asyncio.create_task(self._send_pings())
         try:
             while True:
-                self._handle(await receive(reader))
+                self._handle(await receive_message(reader))
         except (OSError, EOFError, TimeoutError, ValueError) as error:
-            log.debug("link to %s: %s", self._peer, error or type(error).__name__)
+            log.debug("link to %s closed: %s", self._peer, error or type(error).__name__)
         finally:
             pings.cancel()
             self._writer = None
             writer.transport.abort()
-            for future in self._relays.values():
+            for future in self._pending_relays.values():
                 if not future.done():
                     future.set_result(None)
 
     def _handle(self, message: wire.Message) -> None:
         if isinstance(message, wire.Relayed):
-            future = self._relays.get(message.number)
+            future = self._pending_relays.get(message.number)
             if future is not None and not future.done():
                 future.set_result(HeartbeatReply(message.status, message.body))
         elif isinstance(message, wire.Ping):
--- a/src/crosscleat/adapters/peer_server.py
+++ b/src/crosscleat/adapters/peer_server.py
@@ -1,4 +1,4 @@
-"""The server for the links that the other controllers open to this one."""
+"""Server for the connections that other controllers open to this one."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 from ..wire import peers as wire
 from ..wire.workers import HeartbeatReply
 from .background import BackgroundTasks
-from .clock import steady
+from .clock import monotonic_time
 from .health import Health
-from .peer_frames import RELAY_TIMEOUT_S, InvalidMessageError, receive
+from .peer_frames import RELAY_TIMEOUT_S, InvalidMessageError, receive_message
 
 log = logging.getLogger("crosscleat.peers")
 
 
 class PeerService(Protocol):
-    """What a controller does with its peers' messages."""
+    """Handles the messages of peers."""
 
     async def receive_relayed_heartbeat(self, body: bytes) -> HeartbeatReply:
-        """Reply to a heartbeat that a worker sent to the peer."""
+        """Reply to a worker's heartbeat that a peer relayed."""
 
     def receive_peer_message(self, member: str, message: wire.OneWayMessage) -> None:
-        """Act on a message that needs no reply."""
+        """Handle a message that needs no reply."""
 
 
 class PeerServer:
-    """Takes the peers' links: replies to relayed heartbeats and pings, hands on the rest."""
+    """Accepts links of peers; replies to heartbeats and pings, passes other messages on."""
 
     def __init__(self, peers: set[str], service: PeerService, health: Health) -> None:
         self._peers = peers
         self._service = service
         self._health = health
         self._replies = BackgroundTasks(log)
-        self._reported: set[str] = set()
-        """Peers whose invalid messages have been logged: once for each is enough."""
+        self._logged_peers: set[str] = set()
+        """Peers with a logged invalid message; only the first one of each peer is logged."""
 
     async def start(self, address: str) -> asyncio.Server:
         """Listen for the other controllers; the caller closes the listener."""
@@ -45,18 +45,18 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         peer = "unknown peer"
         try:
-            hello = await receive(reader)
+            hello = await receive_message(reader)
             if not isinstance(hello, wire.Hello) or hello.member not in self._peers:
-                raise InvalidMessageError("the first message is no hello of a known peer")
+                raise InvalidMessageError("the first message is not a hello from a known peer")
             peer = hello.member
             while True:
-                self._handle(peer, await receive(reader), writer)
+                self._handle(peer, await receive_message(reader), writer)
         except ValueError as error:
-            if peer not in self._reported:
-                self._reported.add(peer)
-                log.error("%s sends what no controller sends: %s", peer, error)
+            if peer not in self._logged_peers:
+                self._logged_peers.add(peer)
+                log.error("invalid message from %s: %s", peer, error)
         except (OSError, EOFError, TimeoutError) as error:
-            log.debug("link from %s: %s", peer, error or type(error).__name__)
+            log.debug("link from %s closed: %s", peer, error or type(error).__name__)
         finally:
             writer.transport.abort()
 
@@ -70,8 +70,8 @@
             writer.write(wire.encode_frame(self._health.ping()))
 
     async def _reply(self, relay: wire.Relay, writer: asyncio.StreamWriter) -> None:
-        received_at = steady()
+        received_at = monotonic_time()
         reply = await self._service.receive_relayed_heartbeat(relay.body)
-        # After this time the peer does not wait for the reply any more.
-        if steady() - received_at < RELAY_TIMEOUT_S and not writer.is_closing():
+        # After this time the peer no longer waits for the reply.
+        if monotonic_time() - received_at < RELAY_TIMEOUT_S and not writer.is_closing():
             writer.write(wire.encode_frame(wire.Relayed(relay.number, reply.status, reply.body)))
--- a/src/crosscleat/adapters/state_client.py
+++ b/src/crosscleat/adapters/state_client.py
@@ -1,7 +1,7 @@
-"""The client of the key-value store: each call of the controller, and what each answer means.
+"""Client of the key-value store: sends the controller's calls and interprets the responses.
 
-Every write is conditional, and is repeated as it is until the store decides. Requests keep to
-this controller's share of the store's rate limits.
+Every write is conditional. A transaction without a definite response is repeated unchanged.
+Writes and users' reads stay within this controller's share of the store's rate limits.
 """
 
 from __future__ import annotations
@@ -39,34 +39,34 @@
     WatchOutcome,
 )
 from ..wire import state as wire
-from .clock import steady
+from .clock import monotonic_time
 from .commit_queue import CommitQueue
 from .http_calls import HttpResponse
 from .pacer import Pacer
-from .state_connection import FIRST_PAUSE_S, REFUSED, TRY_TIMEOUT_S, StateConnection
+from .state_connection import ATTEMPT_TIMEOUT_S, FIRST_PAUSE_S, REFUSED_STATUSES, StateConnection
 
 KEYS_PER_PAGE = 1000
 USER_TIMEOUT_S = 1.5
 SCAN_TIMEOUT_S = 5.0
-"""For each page."""
+"""For each page of a scan."""
 LEASE_TIMEOUT_S = 2.0
 WATCH_MARGIN_S = 2.0
-"""For the answer, after the time for which a watch may block."""
+"""Time for the response, after the time for which the store may block a watch."""
 MIN_COMMIT_TIMEOUT_S = 0.1
 MAX_COMMIT_PAUSE_S = 0.4
 READ_SHARE = 0.18
-"""One controller's share of the region's requests, for users' reads of single keys. With those for
-the changes of live jobs, three controllers leave a tenth of 150 a second."""
+"""One controller's share of the region's request rate, for users' reads of single keys. With these
+and the reads of live jobs' changes, three controllers leave a tenth of 150 requests per second."""
 WRITE_SHARE = 0.7
-"""One controller's share of the region's writes: mostly the leader writes."""
+"""One controller's share of the region's write rate; high because mostly the leader writes."""
 
 log = logging.getLogger("crosscleat.state")
 
-Message = TypeVar("Message")
+Decoded = TypeVar("Decoded")
 
 
 class StateClient:
-    """Calls to the key-value store, within its rate limits."""
+    """Calls to the key-value store."""
 
     def __init__(
         self,
@@ -78,13 +78,13 @@
         rng: Random,
     ) -> None:
         self._connection = StateConnection(session, address, rng)
-        self._reads = Pacer(rps * READ_SHARE)
-        self._writes = Pacer(write_rps * WRITE_SHARE)
+        self._read_pacer = Pacer(rps * READ_SHARE)
+        self._write_pacer = Pacer(write_rps * WRITE_SHARE)
         self._leader_queue = CommitQueue(self._send_transaction, txn_ops)
         self._user_queue = CommitQueue(self._send_transaction, txn_ops)
 
     async def run(self) -> None:
-        """Send queued commits and check the store until cancelled."""
+        """Send queued commits and check the store's availability until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._leader_queue.run())
             group.create_task(self._user_queue.run())
@@ -96,20 +96,20 @@
         return self._connection.is_available
 
     def outage_s(self) -> float:
-        """For how many seconds it has not served this controller; 0 while it does."""
+        """Seconds since the store stopped serving this controller; 0 while it serves it."""
         return self._connection.outage_s()
 
     # Reads
 
     def _refuses_user_read(self) -> bool:
-        """Users are told to come back rather than kept waiting."""
-        return self._connection.is_down() or not self._reads.try_take(1.0)
+        """Whether to fail a user's read at once, so that the user retries instead of waiting."""
+        return self._connection.is_down() or not self._read_pacer.try_take(1.0)
 
     async def read(self, call: Read) -> ReadResult | Unanswered:
-        """One key."""
+        """Read one key."""
         if call.for_user and self._refuses_user_read():
             return Unanswered()
-        response = await self._connection.call(
+        response = await self._connection.call_with_retries(
             "GET", f"/kv/{quote(call.key)}", None, call.timeout_s
         )
         if response is None:
@@ -123,7 +123,7 @@
         return Unanswered()
 
     async def scan(self, call: Scan) -> ScanResult | Unanswered:
-        """All keys with the prefix, page by page."""
+        """Read all keys with the prefix, page by page."""
         if call.for_user and self._refuses_user_read():
             return Unanswered()
         timeout_s = USER_TIMEOUT_S if call.for_user else SCAN_TIMEOUT_S
@@ -134,12 +134,12 @@
             path = f"/kv?starts={quote(call.prefix)}&limit={KEYS_PER_PAGE}"
             if after:
                 path += f"&after={quote(after)}"
-            response = await self._connection.call("GET", path, None, timeout_s)
+            response = await self._connection.call_with_retries("GET", path, None, timeout_s)
             page = _decode_success(wire.decode_page, response)
             if isinstance(page, Unanswered):
                 return page
             if first_revision is None:
-                # Pages are read one after the other: a watch from the first misses nothing.
+                # Keys may change between pages; a watch from the first revision misses no change.
                 first_revision = page.revision
             items.extend(page.items)
             if not page.more or not page.items:
@@ -147,14 +147,14 @@
             after = page.items[-1].key
 
     async def watch(self, call: Watch) -> WatchOutcome:
-        """Changes below the prefix, as they come."""
+        """Wait for changes of keys with the prefix."""
         if call.for_user and self._connection.is_down():
-            # No share is counted: whoever asks bounds how often.
+            # Watches are not counted against the read share: the caller limits their rate.
             return Unanswered()
         block_ms = int(call.block_s * 1000)
         path = f"/changes?starts={quote(call.prefix)}&after={call.after}&block_ms={block_ms}"
         if call.for_user:
-            response = await self._connection.call("GET", path, None, USER_TIMEOUT_S)
+            response = await self._connection.call_with_retries("GET", path, None, USER_TIMEOUT_S)
         else:
             timeout_s = call.block_s + WATCH_MARGIN_S
             response = await self._connection.try_once("GET", path, None, timeout_s)
@@ -165,60 +165,64 @@
     # Leases
 
     async def grant(self, call: GrantLease) -> LeaseId | Unanswered:
-        """A new lease."""
+        """Create a lease."""
         body = wire.encode_lease_request(call.life_s)
-        response = await self._connection.call("POST", "/grants", body, LEASE_TIMEOUT_S)
+        response = await self._connection.call_with_retries(
+            "POST", "/grants", body, LEASE_TIMEOUT_S
+        )
         return Unanswered() if response is None else _decode(wire.decode_lease, response.body)
 
     async def renew(self, call: RenewLease) -> RenewalOutcome:
         """Renew a lease."""
         path = f"/grants/{call.lease}/touch"
-        response = await self._connection.try_once("POST", path, b"", TRY_TIMEOUT_S)
-        if response is None or response.status in REFUSED:
+        response = await self._connection.try_once("POST", path, b"", ATTEMPT_TIMEOUT_S)
+        if response is None or response.status in REFUSED_STATUSES:
             return Unanswered()
         return LeaseRenewed() if response.status == 200 else NoSuchLease()
 
     async def revoke(self, call: RevokeLease) -> None:
-        """End a lease at once."""
-        await self._connection.call("DELETE", f"/grants/{call.lease}", None, LEASE_TIMEOUT_S)
+        """Revoke a lease before it expires."""
+        await self._connection.call_with_retries(
+            "DELETE", f"/grants/{call.lease}", None, LEASE_TIMEOUT_S
+        )
 
     # Writes
 
     async def commit(self, call: Commit) -> CommitOutcome:
-        """Carry out one transaction."""
+        """Queue a transaction and wait for its outcome."""
         if call.for_user and self._connection.is_down():
             return Unanswered()
         queue = self._user_queue if call.for_user else self._leader_queue
         return await queue.commit(call)
 
     async def _send_transaction(self, commits: list[Commit]) -> CommitOutcome:
-        """Send the commits as one transaction, again and again until the store decides."""
+        """Send the commits as one transaction until the store decides or the time is up."""
         body = wire.encode_transaction(commits)
-        give_up_at = steady() + min(commit.timeout_s for commit in commits)
+        give_up_at = monotonic_time() + min(commit.timeout_s for commit in commits)
         writes = sum(len(commit.writes) for commit in commits)
         repeated = False
         pause_s = FIRST_PAUSE_S
         if commits[0].for_user and self._connection.is_down():
-            # It failed while these waited for their turn.
+            # The store became unavailable while these commits were queued.
             return Unanswered()
         while True:
-            await self._writes.take(writes)
-            left_s = give_up_at - steady()
-            timeout_s = max(MIN_COMMIT_TIMEOUT_S, min(TRY_TIMEOUT_S, left_s))
+            await self._write_pacer.take(writes)
+            left_s = give_up_at - monotonic_time()
+            timeout_s = max(MIN_COMMIT_TIMEOUT_S, min(ATTEMPT_TIMEOUT_S, left_s))
             response = await self._connection.try_once("POST", "/commit", body, timeout_s)
             if response is None:
                 repeated = True
-            elif response.status not in REFUSED:
-                return _outcome(response, repeated)
-            left_s = give_up_at - steady()
+            elif response.status not in REFUSED_STATUSES:
+                return _commit_outcome(response, repeated)
+            left_s = give_up_at - monotonic_time()
             if left_s <= 0.0:
                 return Unanswered()
             await self._connection.pause(pause_s, left_s)
             pause_s = min(MAX_COMMIT_PAUSE_S, pause_s * 2.0)
 
 
-def _outcome(response: HttpResponse, repeated: bool) -> CommitOutcome:
-    """What the answer to a transaction means; `repeated`: an earlier try was not answered."""
+def _commit_outcome(response: HttpResponse, repeated: bool) -> CommitOutcome:
+    """The outcome of a transaction; `repeated`: an earlier attempt got no response."""
     if response.status == 200:
         revision = _decode(wire.decode_revision, response.body)
         return revision if isinstance(revision, Unanswered) else Committed(revision)
@@ -227,21 +231,21 @@
         return Conflict(frozenset() if isinstance(failed, Unanswered) else failed, repeated)
     if response.status == 400 and b"no such lease" in response.body:
         return NoSuchLease()
-    log.error("commit answered with %d: %r", response.status, response.body[:200])
+    log.error("unexpected status %d for a commit: %r", response.status, response.body[:200])
     return Conflict(frozenset(), repeated)
 
 
 def _decode_success(
-    decode: Callable[[bytes], Message], response: HttpResponse | None
-) -> Message | Unanswered:
+    decode: Callable[[bytes], Decoded], response: HttpResponse | None
+) -> Decoded | Unanswered:
     if response is None or response.status != 200:
         return Unanswered()
     return _decode(decode, response.body)
 
 
-def _decode(decode: Callable[[bytes], Message], body: bytes) -> Message | Unanswered:
+def _decode(decode: Callable[[bytes], Decoded], body: bytes) -> Decoded | Unanswered:
     try:
         return decode(body)
     except (msgspec.DecodeError, ValueError) as error:
-        log.error("unreadable answer: %s", error)
+        log.error("cannot decode a response: %s", error)
         return Unanswered()
--- a/src/crosscleat/adapters/state_connection.py
+++ b/src/crosscleat/adapters/state_connection.py
@@ -1,7 +1,7 @@
-"""Requests to the key-value store, their retries, and whether the store is available.
+"""Requests to the key-value store with retries; tracks whether the store is available.
 
-A 429 or 503 means that nothing was executed. No answer means that the request was perhaps
-executed, or will be later.
+After a 429 or 503 the request was not executed. Without a response it may have been executed, or
+may be executed later.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 import aiohttp
 
-from .clock import steady
+from .clock import monotonic_time
 from .http_calls import HttpEndpoint, HttpResponse
 
-TRY_TIMEOUT_S = 1.0
-REFUSED = (429, 503)
+ATTEMPT_TIMEOUT_S = 1.0
+REFUSED_STATUSES = (429, 503)
 """Statuses of requests that were not executed."""
-DOWN_AFTER = 3
-"""Failures in a row."""
+DOWN_AFTER_FAILURES = 3
+"""Consecutive failures after which the store counts as down."""
 DOWN_PAUSE_S = 0.25
-"""After a failure; meanwhile a store that is down is not tried for users' sake."""
+"""Time after a failure during which no requests of users are sent to a store that is down."""
 CHECK_INTERVAL_S = 1.0
 FIRST_PAUSE_S, MAX_PAUSE_S, MIN_OUTAGE_PAUSE_S = 0.04, 0.5, 0.2
 
@@ -29,7 +29,7 @@
 
 
 class StateConnection:
-    """The way to the key-value store; it keeps count of failures."""
+    """Sends requests to the key-value store and counts consecutive failures."""
 
     def __init__(self, session: aiohttp.ClientSession, address: str, rng: Random) -> None:
         self._endpoint = HttpEndpoint(session, address, log)
@@ -37,7 +37,7 @@
         self._failures = 0
         self._failing_since: float | None = None
         self._retry_at = 0.0
-        self._served_at = steady()
+        self._served_at = monotonic_time()
 
     @property
     def is_available(self) -> bool:
@@ -45,66 +45,70 @@
         return self._failures == 0
 
     def outage_s(self) -> float:
-        """For how many seconds it has not served this controller; 0 until that is certain."""
-        if self._failures < DOWN_AFTER or self._failing_since is None:
+        """Seconds since the first failure; 0 before `DOWN_AFTER_FAILURES` consecutive failures."""
+        if self._failures < DOWN_AFTER_FAILURES or self._failing_since is None:
             return 0.0
-        return steady() - self._failing_since
+        return monotonic_time() - self._failing_since
 
     def is_down(self) -> bool:
-        """Whether it failed several times in a row, the last time a moment ago."""
-        return self._failures >= DOWN_AFTER and steady() < self._retry_at
+        """Whether `DOWN_AFTER_FAILURES` was reached and the last failure is recent."""
+        return self._failures >= DOWN_AFTER_FAILURES and monotonic_time() < self._retry_at
 
     async def keep_checking(self) -> None:
-        """Ask for a key whenever nothing else was answered for a while, until cancelled.
+        """Read a key whenever there was no response for some time, until cancelled.
 
-        A controller that the store refuses takes no requests, so none would show that this has
-        ended.
+        While the store is down, the controller takes no user requests, so no other request would
+        detect that the store is available again.
         """
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
-            if steady() - self._served_at > CHECK_INTERVAL_S:
-                await self.try_once("GET", "/kv/leader", None, TRY_TIMEOUT_S)
+            if monotonic_time() - self._served_at > CHECK_INTERVAL_S:
+                await self.try_once("GET", "/kv/leader", None, ATTEMPT_TIMEOUT_S)
 
     async def try_once(
         self, method: str, path: str, body: bytes | None, timeout_s: float
     ) -> HttpResponse | None:
-        """The answer to one request, a refusal too; None: no answer."""
+        """Send a request once; the response may be a refusal, and is None if there was none."""
         response = await self._endpoint.request(method, path, body, timeout_s)
         if response is None or response.status == 503:
             self._record_failure()
         else:
             self._failures = 0
             self._failing_since = None
-            self._served_at = steady()
+            self._served_at = monotonic_time()
         return response
 
-    async def call(
+    async def call_with_retries(
         self, method: str, path: str, body: bytes | None, timeout_s: float
     ) -> HttpResponse | None:
-        """The answer to a request that is repeated while it is refused or not answered.
+        """Repeat a request while it is refused or gets no response.
 
-        None: the store did not decide within `timeout_s`.
+        Returns None if it was not executed, or got no response, within `timeout_s`.
         """
-        give_up_at = steady() + timeout_s
+        give_up_at = monotonic_time() + timeout_s
         pause_s = FIRST_PAUSE_S
         while True:
-            left_s = give_up_at - steady()
+            left_s = give_up_at - monotonic_time()
             if left_s <= 0.0:
                 return None
-            response = await self.try_once(method, path, body, min(TRY_TIMEOUT_S, left_s))
-            if response is not None and response.status not in REFUSED:
+            response = await self.try_once(method, path, body, min(ATTEMPT_TIMEOUT_S, left_s))
+            if response is not None and response.status not in REFUSED_STATUSES:
                 return response
-            if response is not None and response.status == 503 and self._failures > DOWN_AFTER:
+            if (
+                response is not None
+                and response.status == 503
+                and self._failures > DOWN_AFTER_FAILURES
+            ):
                 pause_s = max(pause_s, MIN_OUTAGE_PAUSE_S)
             await self.pause(pause_s, left_s)
             pause_s = min(MAX_PAUSE_S, pause_s * 2.0)
 
     async def pause(self, pause_s: float, left_s: float) -> None:
-        """Sleep for half to one and a half times the pause, and no longer than what is left."""
+        """Sleep for `pause_s` with a jitter of 50%, and no longer than `left_s`."""
         await asyncio.sleep(min(left_s, pause_s * (0.5 + self._rng.random())))
 
     def _record_failure(self) -> None:
         self._failures += 1
         if self._failing_since is None:
-            self._failing_since = steady()
-        self._retry_at = steady() + DOWN_PAUSE_S
+            self._failing_since = monotonic_time()
+        self._retry_at = monotonic_time() + DOWN_PAUSE_S
--- a/src/crosscleat/adapters/worker_client.py
+++ b/src/crosscleat/adapters/worker_client.py
@@ -1,4 +1,4 @@
-"""Commands and probes sent straight to a worker."""
+"""Client that sends commands and probes directly to workers."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from ..core.model.worker_calls import DirectCommand, DirectReply
 from ..wire import workers as wire
 from .deadline import Deadline
-from .http_calls import NO_RESPONSE, HttpResponse
+from .http_calls import NO_RESPONSE_ERRORS, HttpResponse
 
 CONNECT_TIMEOUT_S = 0.8
 SOCKET_TIMEOUT_S = 1.5
-"""For a free socket and the connection together: what takes longer is never sent."""
+"""For a free socket and the connection together; after it the request is not sent at all."""
 RESPONSE_TIMEOUT_S = 2.0
 TOTAL_TIMEOUT_S = 4.0
 STATUSES_WITH_HEARTBEAT = (200, 409)
 
 log = logging.getLogger("crosscleat.workers")
 
-_NEVER_SENT = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
-"""A connection attempt that is given up does not complete afterwards."""
+_NOT_SENT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+"""Errors before the request was sent; an abandoned connection attempt never completes later."""
 
 
 class WorkerClient:
-    """Direct messages to workers."""
+    """Sends direct commands and probes to workers."""
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self._session = session
@@ -35,24 +35,26 @@
         )
 
     async def probe(self, address: str, token: Token, agent_epoch: AgentEpoch) -> bytes | None:
-        """The worker's status as its body came in, by a message without orders; None: no reply."""
+        """Send a command without orders; the reply's body, undecoded, or None if there was none."""
         try:
             response = await self._post(address, wire.encode_direct_command(token, agent_epoch, ()))
-        except NO_RESPONSE as error:
-            log.debug("%s: no answer to a probe (%s)", address, error or type(error).__name__)
+        except NO_RESPONSE_ERRORS as error:
+            log.debug("%s: no response to a probe (%s)", address, error or type(error).__name__)
             return None
         return response.body if response.status in STATUSES_WITH_HEARTBEAT else None
 
-    async def direct(self, call: DirectCommand) -> DirectReply:
+    async def send_command(self, call: DirectCommand) -> DirectReply:
         """Send the orders; the reply says whether they may have been, or may yet be, executed."""
         body = wire.encode_direct_command(call.token, call.agent_epoch, call.orders)
         try:
             response = await self._post(call.address, body)
-        except _NEVER_SENT as error:
-            log.debug("%s: not reached (%s)", call.address, error)
+        except _NOT_SENT_ERRORS as error:
+            log.debug("%s: command not sent (%s)", call.address, error)
             return DirectReply(None, may_execute=False)
-        except NO_RESPONSE as error:
-            log.debug("%s: no answer (%s)", call.address, error or type(error).__name__)
+        except NO_RESPONSE_ERRORS as error:
+            log.debug(
+                "%s: no response to a command (%s)", call.address, error or type(error).__name__
+            )
             return DirectReply(None, may_execute=True)
         if response.status not in STATUSES_WITH_HEARTBEAT:
             return DirectReply(None, may_execute=response.status >= 500)
--- a/src/crosscleat/app.py
+++ b/src/crosscleat/app.py
@@ -1,4 +1,4 @@
-"""Puts a controller process together and runs it."""
+"""Assembles a controller process and runs it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from .adapters.health import Health
 from .adapters.http_server import HttpServer
-from .adapters.peer_link import Link
+from .adapters.peer_link import PeerLink
 from .adapters.peer_server import PeerServer
 from .core.control.controller import Controller
 from .core.model.deployment import TuningOptions
@@ -30,7 +30,7 @@
 
 
 class App:
-    """One controller process: the controller, its clients, its links to peers and its servers."""
+    """A controller process: the controller, its clients, links to peers and servers."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self._state = clients.state
         health = Health(clients.state, has_peers=bool(settings.peers))
         self._links = {
-            peer.member: Link(settings.member, peer.member, peer.endpoint, rng, health)
+            peer.member: PeerLink(settings.member, peer.member, peer.endpoint, rng, health)
             for peer in settings.peers
         }
         self._driver = ControllerDriver(controller, clients, self._links)
@@ -53,29 +53,29 @@
         self._http_server = HttpServer(service, sockets.clients)
 
     async def run(self) -> None:
-        """Serve until cancelled, or until a part fails."""
+        """Serve until cancelled, or until a component fails."""
         async with AsyncExitStack() as stack:
             peer_listener = await self._peer_server.start(self._settings.peer_bind)
             stack.callback(peer_listener.close)
             async with asyncio.TaskGroup() as group:
                 group.create_task(self._state.run())
                 for link in self._links.values():
-                    group.create_task(link.run(self._peer_unreachable))
-                # Before users and workers are let in: the first input is the start.
+                    group.create_task(link.run(self._on_peer_unreachable))
+                # Started must be the first input, so it comes before users and workers can connect.
                 self._driver.step(Started())
                 listener = await self._http_server.start(self._settings.listen)
                 stack.callback(listener.close)
-                _exempt_imports_from_collection()
+                _freeze_imported_objects()
                 while True:
                     await asyncio.sleep(TICK_S)
                     self._driver.step(Tick())
 
-    def _peer_unreachable(self, member: str) -> None:
+    def _on_peer_unreachable(self, member: str) -> None:
         self._driver.step(PeerUnreachable(Member(member)))
 
 
-def _exempt_imports_from_collection() -> None:
-    """Take what was imported out of the garbage collector's view: it stays until the end."""
+def _freeze_imported_objects() -> None:
+    """Exempt all present objects from garbage collection: imported modules are never freed."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 20, 50)
--- a/src/crosscleat/runtime/__init__.py
+++ b/src/crosscleat/runtime/__init__.py
@@ -1,6 +1,6 @@
-"""The process round the core: carries inputs to the controller and its effects out.
+"""Connects the core to the adapters: feeds inputs to the controller and executes its effects.
 
-Owns the requests that wait for an answer, the way of heartbeats and of messages between
-controllers, and the division of sockets. It decides nothing.
+Owns the requests that wait for a response, the routing of heartbeats and of messages between
+controllers, and the division of the sockets. No scheduling decisions are made here.
 May import: core, wire, adapters, settings.
 """
--- a/src/crosscleat/runtime/clients.py
+++ b/src/crosscleat/runtime/clients.py
@@ -15,7 +15,7 @@
 
 
 class Clients(msgspec.Struct, frozen=True):
-    """One client for each service, each with sockets of its own."""
+    """The clients of all services; each has its own HTTP session and socket limit."""
 
     state: StateClient
     cloud: CloudClient
@@ -25,7 +25,7 @@
     async def open(
         cls, stack: AsyncExitStack, settings: Settings, sockets: SocketBudget, rng: Random
     ) -> Clients:
-        """Open the sessions; the stack closes them, the last one first."""
+        """Create the clients; the stack closes their sessions in reverse order."""
         limits = settings.settings.state.tighter()
         store_session = await stack.enter_async_context(client_session(sockets.store))
         cloud_session = await stack.enter_async_context(client_session(sockets.cloud))
--- a/src/crosscleat/runtime/driver.py
+++ b/src/crosscleat/runtime/driver.py
@@ -1,4 +1,4 @@
-"""Drives the controller: gives it inputs one at a time and has its effects carried out."""
+"""Drives the controller: passes inputs to it one at a time and executes its effects."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from ..adapters import clock
 from ..adapters.background import BackgroundTasks
-from ..adapters.peer_link import Link
+from ..adapters.peer_link import PeerLink
 from ..core.control.controller import Controller
 from ..core.model.cloud_calls import DeleteMachines, ListMachines, ListTypes, Rent
 from ..core.model.effects import (
@@ -32,13 +32,15 @@
 
 
 class ControllerDriver:
-    """The controller's way to the outside and back.
+    """Executes the controller's effects and passes their results back to it.
 
-    An effect is carried out by the entry of its type in a table. Calls run as tasks of their own;
-    the result of one comes back as an input that runs the call's continuation.
+    Each type of effect has a handler. Each call runs as a task; its result becomes an input that
+    runs the call's continuation.
     """
 
-    def __init__(self, controller: Controller, clients: Clients, links: Mapping[str, Link]) -> None:
+    def __init__(
+        self, controller: Controller, clients: Clients, links: Mapping[str, PeerLink]
+    ) -> None:
         self._controller = controller
         self._links = links
         self._tasks = BackgroundTasks(log)
@@ -47,33 +49,35 @@
             Response: self._requests.complete,
             HeartbeatResponse: self._requests.complete,
             LogRecord: self._write_log,
-            Delay: self._delay,
+            Delay: self._start_delay,
             BroadcastProgress: self._broadcast_progress,
-            IndirectProbe: self._ask_peers_to_probe,
+            IndirectProbe: self._request_indirect_probe,
             ShardRequest: self._request_shard,
             ProposeShard: self._propose_shard,
             RevokeLease: lambda call: self._tasks.start(clients.state.revoke(call)),
         }
-        for call_type, client_method in _calls(clients).items():
+        for call_type, client_method in _client_methods(clients).items():
             self._handlers[call_type] = partial(self._start_call, client_method)
 
     def step(self, event: Input) -> None:
-        """Give the controller one input and carry out, in order, what it asks for."""
-        for effect in self._controller.step(event, clock.steady(), clock.wall()):
+        """Run one step of the controller and execute its effects in order."""
+        for effect in self._controller.step(event, clock.monotonic_time(), clock.wall_time()):
             self._handlers[type(effect)](effect)
 
-    def ask(self, make_input: Callable[[int], Input], timeout_s: float) -> Awaitable[Answer | None]:
-        """The controller's answer to one request; None: there was none in time."""
-        return self._requests.ask(self.step, make_input, timeout_s)
+    def request_answer(
+        self, make_input: Callable[[int], Input], timeout_s: float
+    ) -> Awaitable[Answer | None]:
+        """The controller's answer to one request; None if there was none in time."""
+        return self._requests.request_answer(self.step, make_input, timeout_s)
 
     def _start_call(self, client_method: Callable[[Any], Awaitable[Any]], call: Any) -> None:
-        self._tasks.start(self._call(client_method, call))
+        self._tasks.start(self._run_call(client_method, call))
 
-    async def _call(self, client_method: Callable[[Any], Awaitable[Any]], call: Any) -> None:
+    async def _run_call(self, client_method: Callable[[Any], Awaitable[Any]], call: Any) -> None:
         result = await client_method(call)
         self.step(CallCompleted(call.continuation, (result,)))
 
-    def _delay(self, effect: Delay) -> None:
+    def _start_delay(self, effect: Delay) -> None:
         loop = asyncio.get_running_loop()
         loop.call_later(effect.delay_s, self.step, CallCompleted(effect.continuation))
 
@@ -84,7 +88,7 @@
     def _broadcast_progress(self, effect: BroadcastProgress) -> None:
         self._broadcast(wire.Counts(effect.counts))
 
-    def _ask_peers_to_probe(self, effect: IndirectProbe) -> None:
+    def _request_indirect_probe(self, effect: IndirectProbe) -> None:
         self._broadcast(wire.IndirectProbe(effect.address, effect.token, effect.agent_epoch))
 
     def _request_shard(self, effect: ShardRequest) -> None:
@@ -101,8 +105,8 @@
             log.log(level, "(%s) %s", role, record.text)
 
 
-def _calls(clients: Clients) -> dict[type[Any], Callable[[Any], Awaitable[Any]]]:
-    """The client's method for each type of call that has a continuation."""
+def _client_methods(clients: Clients) -> dict[type[Any], Callable[[Any], Awaitable[Any]]]:
+    """The client method that executes each type of call with a continuation."""
     state, cloud = clients.state, clients.cloud
     return {
         Commit: state.commit,
@@ -113,7 +117,7 @@
         RenewLease: state.renew,
         Rent: cloud.rent,
         DeleteMachines: cloud.delete,
-        ListTypes: lambda _: cloud.types(),
-        ListMachines: lambda _: cloud.machines(),
-        DirectCommand: clients.workers.direct,
+        ListTypes: lambda _: cloud.list_machine_types(),
+        ListMachines: lambda _: cloud.list_machines(),
+        DirectCommand: clients.workers.send_command,
     }
--- a/src/crosscleat/runtime/requests.py
+++ b/src/crosscleat/runtime/requests.py
@@ -1,4 +1,4 @@
-"""Requests that wait for the controller's answer."""
+"""Pending requests: each waits for the controller's answer or a timeout."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 
 
 class PendingRequests:
-    """Requests from outside, by the number under which the controller answers them."""
+    """Requests of users and workers, by the request number that the controller's answer repeats."""
 
     def __init__(self) -> None:
         self._futures: dict[int, asyncio.Future[Answer]] = {}
         self._last_number = 0
 
     def complete(self, answer: Answer) -> None:
-        """Pass on an answer; one that nobody waits for any more is dropped."""
+        """Deliver an answer; it is dropped if its request has timed out."""
         future = self._futures.pop(answer.request, None)
         if future is not None and not future.done():
             future.set_result(answer)
 
-    async def ask(
+    async def request_answer(
         self, step: Callable[[Input], None], make_input: Callable[[int], Input], timeout_s: float
     ) -> Answer | None:
-        """Give the controller the input made for a new number; None: no answer in time."""
+        """Pass the input for a new request number to `step`; None if no answer came in time."""
         self._last_number += 1
         number = self._last_number
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self._futures[number] = future
         step(make_input(number))
         if future.done():
-            # Most heartbeats are answered within the step: no timer is set for those.
+            # Most heartbeats are answered within the step, so they need no timer.
             return future.result()
         try:
             async with Deadline(timeout_s):
--- a/src/crosscleat/runtime/service.py
+++ b/src/crosscleat/runtime/service.py
@@ -1,4 +1,4 @@
-"""What this controller does for users, workers and the other controllers that connect to it."""
+"""Handles the requests of users and workers, and the messages of other controllers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ..adapters.background import BackgroundTasks
 from ..adapters.health import Health
 from ..adapters.http_server import UserInput
-from ..adapters.peer_link import Link
+from ..adapters.peer_link import PeerLink
 from ..adapters.worker_client import WorkerClient
 from ..core.control.controller import Controller
 from ..core.model.effects import Response
@@ -34,13 +34,13 @@
 
 
 class ControllerService:
-    """Turns requests and messages into inputs of the controller, and its answers into replies."""
+    """Converts requests and messages into controller inputs, and its answers into replies."""
 
     def __init__(
         self,
         controller: Controller,
         driver: ControllerDriver,
-        links: Mapping[str, Link],
+        links: Mapping[str, PeerLink],
         workers: WorkerClient,
         health: Health,
     ) -> None:
@@ -62,17 +62,17 @@
 
     def ready(self) -> bool:
         """Whether the load balancer should send users to this controller."""
-        return self._controller.knows_types and not self._health.is_cut_off()
+        return self._controller.knows_types and not self._health.is_isolated()
 
-    async def ask(self, make_input: Callable[[int], UserInput]) -> Response | None:
-        """The controller's answer to a user's request; None: there was none in time."""
-        answer = await self._driver.ask(make_input, USER_TIMEOUT_S)
+    async def handle_request(self, make_input: Callable[[int], UserInput]) -> Response | None:
+        """The controller's response to a user's request; None if there was none in time."""
+        answer = await self._driver.request_answer(make_input, USER_TIMEOUT_S)
         return answer if isinstance(answer, Response) else None
 
     # Workers
 
     async def receive_heartbeat(self, body: bytes) -> HeartbeatReply:
-        """Reply to a heartbeat that a worker sent here; the leader's reply, if that is a peer."""
+        """Reply to a worker's heartbeat; if a peer is the leader, relay it and return its reply."""
         if self._controller.leader is not None:
             return await self._answer_heartbeat(body, relayed=False)
         leader = self._controller.election.leader
@@ -82,7 +82,7 @@
         return await link.relay(body) or UNAVAILABLE
 
     async def receive_relayed_heartbeat(self, body: bytes) -> HeartbeatReply:
-        """Reply to a heartbeat that a peer relayed; it is never relayed a second time."""
+        """Reply to a heartbeat that a peer relayed; it is never relayed again."""
         if self._controller.leader is None:
             return UNAVAILABLE
         return await self._answer_heartbeat(body, relayed=True)
@@ -91,7 +91,7 @@
         heartbeat = worker_wire.parse_heartbeat(body)
         if heartbeat is None:
             return MALFORMED
-        answer = await self._driver.ask(
+        answer = await self._driver.request_answer(
             lambda number: HeartbeatReceived(number, heartbeat, relayed), HEARTBEAT_TIMEOUT_S
         )
         if isinstance(answer, HeartbeatResponse):
@@ -103,7 +103,7 @@
     # The other controllers
 
     def receive_peer_message(self, member: str, message: peer_wire.OneWayMessage) -> None:
-        """Act on a peer's message that needs no reply on the same link."""
+        """Handle a peer's message that needs no reply on the same link."""
         self._message_handlers[type(message)](member, message)
 
     def _receive_progress(self, _: str, message: peer_wire.Counts) -> None:
--- a/tests/test_encoded_jobs.py
+++ b/tests/test_encoded_jobs.py
@@ -201,7 +201,7 @@
     def __init__(self, answer: Response) -> None:
         self.answer = answer
 
-    async def ask(self, _make_input: Callable[[int], Any]) -> Response | None:
+    async def handle_request(self, _make_input: Callable[[int], Any]) -> Response | None:
         return self.answer
 
     async def receive_heartbeat(self, body: bytes) -> HeartbeatReply:
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -31,7 +31,7 @@
 @pytest.fixture
 def clock(monkeypatch: pytest.MonkeyPatch) -> Time:
     time = Time()
-    monkeypatch.setattr(health_module, "steady", lambda: time.now)
+    monkeypatch.setattr(health_module, "monotonic_time", lambda: time.now)
     return time
 
 
@@ -42,10 +42,10 @@
         clock.now += 1.0
         health.receive_ping("c1", Ping(served=True))
         health.receive_ping("c2", Ping(served=False))
-    assert health.is_cut_off()
+    assert health.is_isolated()
 
     clock.now += 3.0
-    assert not health.is_cut_off(), "no peer has reported for a while that the store serves it"
+    assert not health.is_isolated(), "no peer has reported for a while that the store serves it"
 
 
 def test_a_store_outage_for_all_leaves_every_controller_ready(clock: Time) -> None:
@@ -57,14 +57,14 @@
     for _ in range(10):
         clock.now += 1.0
         health.receive_ping("c1", Ping(served=False))
-        assert not health.is_cut_off()
+        assert not health.is_isolated()
 
 
 def test_a_controller_with_store_is_ready_whatever_its_peers_report(clock: Time) -> None:
     health = Health(Store(clock))
     health.receive_ping("c1", Ping(served=True))
 
-    assert not health.is_cut_off()
+    assert not health.is_isolated()
 
 
 def test_a_controller_without_store_and_peers_sends_users_away(clock: Time) -> None:
@@ -73,21 +73,21 @@
     for _ in range(8):
         health.receive_ping("c1", Ping(served=False))
         clock.now += 1.0
-    assert not health.is_cut_off(), "one peer is enough"
+    assert not health.is_isolated(), "one peer is enough"
 
     clock.now += 8.0
-    assert health.is_cut_off()
+    assert health.is_isolated()
 
     health.receive_ping("c1", Ping(served=False))
-    assert not health.is_cut_off()
+    assert not health.is_isolated()
 
     alone = Health(Store(clock, since), has_peers=False)
     clock.now += 100.0
-    assert not alone.is_cut_off(), "there is no peer to send users to"
+    assert not alone.is_isolated(), "there is no peer to send users to"
 
 
 def test_a_controller_with_store_but_without_peers_takes_requests(clock: Time) -> None:
     health = Health(Store(clock))
     clock.now += 100.0
 
-    assert not health.is_cut_off()
+    assert not health.is_isolated()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -27,7 +27,7 @@
             free.bind(("127.0.0.1", 0))
             self.address = f"127.0.0.1:{free.getsockname()[1]}"
 
-    async def ask(self, make_input: Callable[[int], Any]) -> Response | None:
+    async def handle_request(self, make_input: Callable[[int], Any]) -> Response | None:
         self.asked.append(make_input(len(self.asked)))
         if isinstance(self.asked[-1], RejectJob):
             return Response(0, self.asked[-1].status)
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -73,13 +73,13 @@
         assert isinstance(event, QueryJob)
         requests.complete(Response(event.request, 200))
 
-    assert asyncio.run(requests.ask(answer, query, 0.0)) == Response(1, 200)
+    assert asyncio.run(requests.request_answer(answer, query, 0.0)) == Response(1, 200)
 
 
 def test_a_request_that_is_not_answered_in_time_is_forgotten() -> None:
     requests = PendingRequests()
 
-    assert asyncio.run(requests.ask(lambda _: None, query, 0.001)) is None
+    assert asyncio.run(requests.request_answer(lambda _: None, query, 0.001)) is None
 
     requests.complete(Response(1, 200))
     assert requests._futures == {}
--- a/tests/test_suspended_process.py
+++ b/tests/test_suspended_process.py
@@ -134,7 +134,7 @@
         host, _, port = other.address.partition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"hello")
-        message = await other.stand_still_during(peer_frames.receive(reader))
+        message = await other.stand_still_during(peer_frames.receive_message(reader))
         writer.close()
         return message
 
@@ -144,7 +144,7 @@
 class RefusingService:
     """Answers users with what it was given: whether the request arrived whole."""
 
-    async def ask(self, make_input: Callable[[int], UserInput]) -> Response | None:
+    async def handle_request(self, make_input: Callable[[int], UserInput]) -> Response | None:
         given = make_input(1)
         return Response(1, 422 if isinstance(given, RejectJob) else 201)
 
@@ -182,7 +182,9 @@
         requests = PendingRequests()
         loop = asyncio.get_running_loop()
         waiting = asyncio.ensure_future(
-            requests.ask(lambda _: None, lambda number: RejectJob(number, JobRef("j"), 400), 60.0)
+            requests.request_answer(
+                lambda _: None, lambda number: RejectJob(number, JobRef("j"), 400), 60.0
+            )
         )
         await asyncio.sleep(0)
         jump()
--- a/tests/test_worker_client.py
+++ b/tests/test_worker_client.py
@@ -40,9 +40,9 @@
         connector = aiohttp.TCPConnector(limit=1)
         async with aiohttp.ClientSession(connector=connector) as session:
             client = WorkerClient(session)
-            first = asyncio.create_task(client.direct(call))
+            first = asyncio.create_task(client.send_command(call))
             await arrived.wait()
-            assert await client.direct(call) == DirectReply(None, may_execute=False)
+            assert await client.send_command(call) == DirectReply(None, may_execute=False)
             assert len(came) == 1
             go_on.set()
             assert await first == DirectReply(None, may_execute=True)
