--- a/deploy/build.py
+++ b/deploy/build.py
@@ -1,7 +1,7 @@
-"""Install the pinned run-time libraries under target/deps and compile everything once.
+"""Install the pinned run-time libraries under target/deps, and byte-compile them and src.
 
-Compiling here matters: a controller may own a fifth of a core, and byte-compiling
-its libraries at every start would cost it seconds of leadership.
+A controller may have only a fifth of a CPU core. Byte-compiling its libraries at every start would
+cost it seconds in which it could lead.
 """
 
 import compileall
@@ -11,18 +11,18 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 DEPS = ROOT / "target" / "deps"
-WANTED = ROOT / "requirements.txt"
+REQUIREMENTS = ROOT / "requirements.txt"
 STAMP = DEPS / ".installed"
 
 
 def main() -> int:
-    """Install what is wanted, unless it is there, and compile it."""
-    wanted = WANTED.read_text()
-    if not STAMP.exists() or STAMP.read_text() != wanted:
+    """Install the libraries unless these requirements are installed already, and compile all."""
+    requirements = REQUIREMENTS.read_text()
+    if not STAMP.exists() or STAMP.read_text() != requirements:
         DEPS.mkdir(parents=True, exist_ok=True)
         command = [sys.executable, "-m", "pip", "install", "-q", "-U", "--target", str(DEPS)]
-        subprocess.run([*command, "-r", str(WANTED)], check=True)
-        STAMP.write_text(wanted)
+        subprocess.run([*command, "-r", str(REQUIREMENTS)], check=True)
+        STAMP.write_text(requirements)
     compileall.compile_dir(str(DEPS), quiet=2)
     compileall.compile_dir(str(ROOT / "src"), quiet=1)
     return 0
--- a/run.py
+++ b/run.py
@@ -1,12 +1,12 @@
-"""Start a controller from a checkout, with the libraries that the build put beside it."""
+"""Start a controller from a checkout, with the libraries that deploy/build.py installed."""
 
 import os
 import pathlib
 import sys
 
 ROOT = pathlib.Path(__file__).resolve().parent
-# No connection of ours is encrypted, and reading the system's certificates, as the HTTP library
-# does when it is imported, takes a fifth of the time to start.
+# The HTTP library reads the system's CA certificates when it is imported, which takes a fifth of
+# the start-up time. No connection is encrypted, so it is pointed at an empty file.
 os.environ["SSL_CERT_FILE"] = os.environ["SSL_CERT_DIR"] = os.devnull
 sys.path[:0] = [str(ROOT / "src"), str(ROOT / "target" / "deps")]
 
--- a/src/crosscleat/adapters/health.py
+++ b/src/crosscleat/adapters/health.py
@@ -43,7 +43,7 @@
     def receive_ping(self, peer: str, ping: Ping) -> None:
         """Note whether the store serves the peer."""
         self._last_ping_at = steady()
-        if ping.served:
+        if ping.store_available:
             self._served_at[peer] = steady()
         else:
             self._served_at.pop(peer, None)
--- a/src/crosscleat/runtime/clients.py
+++ b/src/crosscleat/runtime/clients.py
@@ -26,7 +26,7 @@
         cls, stack: AsyncExitStack, settings: Settings, sockets: SocketBudget, rng: Random
     ) -> Clients:
         """Open the sessions; the stack closes them, the last one first."""
-        limits = settings.settings.state.tighter()
+        limits = settings.settings.state.strictest()
         store_session = await stack.enter_async_context(client_session(sockets.store))
         cloud_session = await stack.enter_async_context(client_session(sockets.cloud))
         worker_session = await stack.enter_async_context(client_session(sockets.workers))
--- a/src/crosscleat/settings.py
+++ b/src/crosscleat/settings.py
@@ -1,7 +1,7 @@
 """The settings file that the platform writes for each controller.
 
-The structures have the names of the file; `Settings.deployment` maps them to the core's terms. What
-the file has beside them is ignored. Names that end in `_s` are seconds, in `_kb` KiB.
+The structures use the names of the file; `Settings.deployment` maps them to the core's type.
+Unknown settings are ignored. Names that end in `_s` are in seconds, in `_kb` in KiB.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 Positive = Annotated[float, Meta(gt=0.0, le=1e9)]
 Amount = Annotated[float, Meta(ge=0.0, le=1e9)]
 ValueLimit = Annotated[float, Meta(ge=1.5, le=1e6)]
-"""In KiB. A job's own record takes up to 1.3."""
+"""Size of a value in KiB. The record of a single job takes up to 1.3 KiB."""
 OperationLimit = Annotated[int, Meta(ge=4)]
-"""Writes in one transaction."""
+"""Number of writes in one transaction."""
 Name = Annotated[str, Meta(min_length=1, max_length=100)]
 Address = Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$")]
 
 
 class SettingsError(CrosscleatError):
-    """A setting is missing or invalid; one line says which, and where it was read."""
+    """A setting is missing or invalid; the one-line message names it and the file it came from."""
 
 
 class Peer(msgspec.Struct):
@@ -40,14 +40,14 @@
 
 
 class Endpoints(msgspec.Struct):
-    """Addresses of the cloud's API and of the key-value store."""
+    """Addresses of the cloud's API and the key-value store."""
 
     cloud: Address
     state: Address
 
 
 class TeamSettings(msgspec.Struct):
-    """The quota of a team: what it is guaranteed and the most it may use; 0: none."""
+    """The quota of a team: guaranteed capacity and limits; 0 means no guarantee or no limit."""
 
     name: Name
     cpus: Amount = 0.0
@@ -65,7 +65,7 @@
 
 
 class WorkerSettings(msgspec.Struct):
-    """Times that workers keep to: heartbeats, their lease, and waiting for gang members."""
+    """Times that apply to workers: heartbeat interval, lease, cancellation and gang waits."""
 
     report_s: Positive
     lease_s: Positive
@@ -75,7 +75,7 @@
 
 
 class NextLimits(msgspec.Struct):
-    """Limits that the key-value store will have from some later time on, without notice."""
+    """Limits that the key-value store will switch to at some later time, without notice."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -84,7 +84,7 @@
 
 
 class StateSettings(msgspec.Struct):
-    """Limits of the key-value store: requests and writes a second, value size, transactions."""
+    """Limits of the key-value store: requests and writes per second, value and transaction size."""
 
     rps: Positive
     write_rps: Positive
@@ -92,10 +92,10 @@
     txn_ops: OperationLimit
     next: NextLimits = msgspec.field(default_factory=NextLimits)
 
-    def tighter(self) -> StateSettings:
-        """The limits that hold now and later.
+    def strictest(self) -> StateSettings:
+        """For each limit, the stricter of its present and its next value.
 
-        Nothing is written that the store may refuse from some time on.
+        This way nothing is written that the store would reject after it switches its limits.
         """
         later = self.next
         return StateSettings(
@@ -107,18 +107,18 @@
 
 
 class CloudSettings(msgspec.Struct):
-    """Limits of the cloud's API: requests a second."""
+    """Limits of the cloud's API: requests per second."""
 
     rps: Positive
 
 
-class Resources(msgspec.Struct):
-    """What the platform allows a controller."""
+class ResourceLimits(msgspec.Struct):
+    """What the platform lets one controller use."""
 
     max_sockets: Annotated[int, Meta(ge=16)] = 1000
 
 
-class Params(msgspec.Struct):
+class SharedSettings(msgspec.Struct):
     """The settings that are the same for all controllers."""
 
     teams: list[TeamSettings]
@@ -126,7 +126,7 @@
     state: StateSettings
     cloud: CloudSettings
     objectives: list[ObjectiveSettings] = []
-    resources: Resources = msgspec.field(default_factory=Resources)
+    resources: ResourceLimits = msgspec.field(default_factory=ResourceLimits)
 
 
 class Settings(msgspec.Struct):
@@ -136,14 +136,14 @@
     listen: Address
     peer_bind: Address
     endpoints: Endpoints
-    settings: Params
+    settings: SharedSettings
     zone: str = ""
     peers: list[Peer] = []
 
     def deployment(self, tuning: TuningOptions) -> Deployment:
-        """The settings that decisions depend on, in the core's terms."""
-        params = self.settings
-        state = params.state.tighter()
+        """Convert the settings that scheduling decisions depend on to the core's type."""
+        shared = self.settings
+        state = shared.state.strictest()
         members = {self.member, *(peer.member for peer in self.peers)}
         return Deployment(
             member=Member(self.member),
@@ -152,17 +152,17 @@
                 Team(team.name): TeamLimits(
                     Team(team.name), team.cpus, team.cpus_max, team.gpus, team.gpus_max
                 )
-                for team in params.teams
+                for team in shared.teams
             },
             objectives=tuple(
                 Objective(objective.kind, objective.job_class, objective.within_s)
-                for objective in params.objectives
+                for objective in shared.objectives
             ),
-            heartbeat_interval_s=params.workers.report_s,
-            lease_s=params.workers.lease_s,
-            cancel_s=params.workers.cancel_s,
-            gang_wait_s=params.workers.gang_wait_s,
-            gang_peer_s=params.workers.gang_peer_s,
+            heartbeat_interval_s=shared.workers.report_s,
+            lease_s=shared.workers.lease_s,
+            cancel_s=shared.workers.cancel_s,
+            gang_wait_s=shared.workers.gang_wait_s,
+            gang_peer_s=shared.workers.gang_peer_s,
             value_kb=state.value_kb,
             txn_ops=state.txn_ops,
             tuning=tuning,
@@ -181,7 +181,7 @@
 
 
 def parse(raw: object, origin: str) -> Settings:
-    """Check settings that were read from `origin`; raises SettingsError."""
+    """Validate settings that were read from `origin`, usually a file; raises SettingsError."""
     try:
         settings = msgspec.convert(raw, Settings)
     except msgspec.ValidationError as error:
@@ -190,7 +190,7 @@
     if workers.cancel_s <= workers.lease_s:
         raise SettingsError(
             f"{origin}: settings.workers.cancel_s must be more than lease_s, "
-            "or no cancellation could be kept while the state service is away"
+            "otherwise cancellations would be late while the state service is unavailable"
         )
     if not settings.settings.teams:
         raise SettingsError(f"{origin}: settings.teams is empty")
--- a/src/crosscleat/wire/__init__.py
+++ b/src/crosscleat/wire/__init__.py
@@ -1,6 +1,6 @@
-"""The messages of each interface, in the words of the protocol.
+"""Wire messages of every interface: cloud, key-value store, users, workers and controllers.
 
-Owns the protocol's names and what each is called in the core, the encoding, and the limits of size.
-Other versions read these messages: field names, tags and positions never change.
+Owns the protocol's field names, their mapping to the core's types, the encoding and size limits.
+Other versions read these messages, so field names, tags and positions never change.
 May import: core.model.
 """
--- a/src/crosscleat/wire/cloud.py
+++ b/src/crosscleat/wire/cloud.py
@@ -1,7 +1,7 @@
 """Messages of the cloud's API: machine types, the machine list, rental and deletion.
 
-The structures have the protocol's field names; the functions map them to the core's types. A body
-that is not what the protocol says raises msgspec.DecodeError.
+The structures use the protocol's field names; their methods and the functions below map them to the
+core's types. Decoding a body that violates the protocol raises msgspec.DecodeError.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from ..core.model.ids import MachineId, TypeName, Zone
 
 
-class Rig(msgspec.Struct):
-    """A machine type: sizes in GB, prices per hour, times in seconds."""
+class MachineTypeEntry(msgspec.Struct):
+    """A machine type in the list; sizes in GB, prices per hour, times in seconds."""
 
     sku: str
     cores: float
@@ -28,7 +28,7 @@
     ready_s: float = 60.0
 
     def machine_type(self) -> MachineType:
-        """The machine type in the core's terms."""
+        """Convert to the core's type."""
         return MachineType(
             name=TypeName(self.sku),
             cpus=self.cores,
@@ -44,19 +44,19 @@
 
 
 class MachineTypesBody(msgspec.Struct):
-    """The answer to GET /machine_types."""
+    """The response body of GET /machine_types."""
 
-    rigs: list[Rig]
+    rigs: list[MachineTypeEntry]
 
 
 class RentalBody(msgspec.Struct):
-    """The answer to POST /rentals."""
+    """The response body of POST /rentals: the ids of the rented machines."""
 
     boxes: list[str]
 
 
-class Box(msgspec.Struct):
-    """A machine in the list."""
+class MachineEntry(msgspec.Struct):
+    """A rented machine in the machine list."""
 
     ref: str
     rig: str
@@ -67,7 +67,7 @@
     age_s: float = 0.0
 
     def machine(self) -> ListedMachine:
-        """The machine in the core's terms."""
+        """Convert to the core's type."""
         return ListedMachine(
             MachineId(self.ref),
             self.addr,
@@ -80,9 +80,9 @@
 
 
 class MachineListBody(msgspec.Struct):
-    """The answer to GET /rentals."""
+    """The response body of GET /rentals: one page of the machine list."""
 
-    boxes: list[Box]
+    boxes: list[MachineEntry]
     more: bool = False
 
 
@@ -91,44 +91,44 @@
 
     machines: list[ListedMachine]
     more: bool
-    """Whether another page follows, after the name of the last machine."""
+    """Whether another page follows; it starts after the id of this page's last machine."""
 
 
-_machine_types = msgspec.msgpack.Decoder(MachineTypesBody)
-_rental = msgspec.msgpack.Decoder(RentalBody)
-_machine_list = msgspec.msgpack.Decoder(MachineListBody)
+_machine_types_decoder = msgspec.msgpack.Decoder(MachineTypesBody)
+_rental_decoder = msgspec.msgpack.Decoder(RentalBody)
+_machine_list_decoder = msgspec.msgpack.Decoder(MachineListBody)
 _encoder = msgspec.msgpack.Encoder()
 
 
 def decode_machine_types(body: bytes) -> list[MachineType]:
-    """The answer to GET /machine_types."""
-    return [rig.machine_type() for rig in _machine_types.decode(body).rigs]
+    """Decode the response of GET /machine_types."""
+    return [rig.machine_type() for rig in _machine_types_decoder.decode(body).rigs]
 
 
 def decode_machine_page(body: bytes) -> MachinePage:
-    """The answer to GET /rentals."""
-    page = _machine_list.decode(body)
+    """Decode the response of GET /rentals."""
+    page = _machine_list_decoder.decode(body)
     return MachinePage([box.machine() for box in page.boxes], page.more)
 
 
 def decode_rental(body: bytes) -> list[str]:
-    """The answer to POST /rentals: the names of the machines."""
-    return _rental.decode(body).boxes
+    """Decode the response of POST /rentals: the ids of the rented machines."""
+    return _rental_decoder.decode(body).boxes
 
 
-def encode_rental(order: Rent) -> bytes:
-    """The body of POST /rentals."""
+def encode_rental(rental: Rent) -> bytes:
+    """Encode the request body of POST /rentals."""
     return _encoder.encode(
         {
-            "hire": order.name,
-            "rig": order.type,
-            "yard": order.zone,
-            "loaners": order.spot,
-            "number": order.count,
+            "hire": rental.name,
+            "rig": rental.type,
+            "yard": rental.zone,
+            "loaners": rental.spot,
+            "number": rental.count,
         }
     )
 
 
 def encode_deletion(machines: tuple[str, ...]) -> bytes:
-    """The body of POST /rentals/delete."""
+    """Encode the request body of POST /rentals/delete."""
     return _encoder.encode({"boxes": list(machines)})
--- a/src/crosscleat/wire/peers.py
+++ b/src/crosscleat/wire/peers.py
@@ -1,6 +1,6 @@
-"""Messages between controllers: tagged tuples in frames of a four-byte length.
+"""Messages between controllers: tagged arrays, each in a frame with a four-byte length prefix.
 
-Tags and positions are read by other versions too; they never change.
+Other versions read these messages too, so tags and positions never change.
 """
 
 from __future__ import annotations
@@ -15,52 +15,52 @@
 
 
 class Hello(msgspec.Struct, array_like=True, tag="hello", frozen=True):
-    """The first message of a link: who opened it."""
+    """The first message on a connection; names the controller that opened it."""
 
     member: str
 
 
 class Ping(msgspec.Struct, array_like=True, tag="ping", frozen=True):
-    """The sender is up; and whether the key-value store serves it."""
+    """Tells a peer that the sender is alive, and whether the key-value store answers the sender."""
 
-    served: bool
+    store_available: bool
 
 
-class Relay(msgspec.Struct, array_like=True, tag="relay", frozen=True):
-    """A worker's heartbeat, as its body was received."""
+class RelayRequest(msgspec.Struct, array_like=True, tag="relay", frozen=True):
+    """Forwards a worker's heartbeat to the leader, with the body as it was received."""
 
     number: int
     body: bytes
 
 
-class Relayed(msgspec.Struct, array_like=True, tag="relayed", frozen=True):
-    """The leader's HTTP answer to the relayed heartbeat of that number."""
+class RelayReply(msgspec.Struct, array_like=True, tag="relayed", frozen=True):
+    """The receiver's HTTP response to the RelayRequest of the same number."""
 
     number: int
     status: int
     body: bytes
 
 
-class Counts(msgspec.Struct, array_like=True, tag="counts", frozen=True):
-    """The leader's numbers of done and running tasks, by job."""
+class TaskCounts(msgspec.Struct, array_like=True, tag="counts", frozen=True):
+    """The leader's numbers of completed and running tasks, in this order, by job."""
 
     jobs: dict[str, tuple[int, int]]
 
 
 class ShardRequest(msgspec.Struct, array_like=True, tag="part", frozen=True):
-    """The leader's request to plan one shard of a full cycle."""
+    """Sent by the leader: asks a controller to plan one shard of a full scheduling cycle."""
 
     view: ShardView
 
 
 class ShardProposed(msgspec.Struct, array_like=True, tag="proposed", frozen=True):
-    """The assignments that a shard owner proposes."""
+    """The reply to a ShardRequest: the proposed assignments."""
 
     proposal: ShardProposal
 
 
 class IndirectProbe(msgspec.Struct, array_like=True, tag="probe", frozen=True):
-    """Asks for the status of a worker whose heartbeats do not reach the leader."""
+    """Sent by the leader: asks for the status of a worker whose heartbeats do not reach it."""
 
     address: str
     token: int
@@ -68,7 +68,7 @@
 
 
 class ProbeReply(msgspec.Struct, array_like=True, tag="probed", frozen=True):
-    """The worker's status, as its body was received."""
+    """The reply to an IndirectProbe: the worker's status, with the body as it was received."""
 
     body: bytes
 
@@ -76,34 +76,36 @@
 Message = (
     Hello
     | Ping
-    | Relay
-    | Relayed
-    | Counts
+    | RelayRequest
+    | RelayReply
+    | TaskCounts
     | ShardRequest
     | ShardProposed
     | IndirectProbe
     | ProbeReply
 )
 
-OneWayMessage = Counts | ShardRequest | ShardProposed | IndirectProbe | ProbeReply
-"""Those that need no reply on the same link."""
+OneWayMessage = TaskCounts | ShardRequest | ShardProposed | IndirectProbe | ProbeReply
+"""Messages that the receiver does not answer on the same connection."""
 
 _decoder = msgspec.msgpack.Decoder(Message)
 _encoder = msgspec.msgpack.Encoder()
 
 
 class FrameTooLongError(CrosscleatError, ValueError):
-    """No receiver takes a message of this length."""
+    """The message is longer than MAX_FRAME_BYTES; the receiver would close the connection."""
 
 
 def encode_frame(message: Message) -> bytes:
-    """The message with its length in front, as it is sent; raises FrameTooLongError."""
+    """Encode a message with its length prefix; raises FrameTooLongError."""
     body = _encoder.encode(message)
     if len(body) > MAX_FRAME_BYTES:
-        raise FrameTooLongError(f"a message of {len(body)} bytes: {type(message).__name__}")
+        raise FrameTooLongError(
+            f"message of {len(body)} bytes exceeds the limit: {type(message).__name__}"
+        )
     return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
 def decode_message(body: bytes) -> Message:
-    """The message in a frame; raises msgspec.DecodeError for what no controller sends."""
+    """Decode the body of a frame; raises msgspec.DecodeError if it is not a valid message."""
     return _decoder.decode(body)
--- a/src/crosscleat/wire/state.py
+++ b/src/crosscleat/wire/state.py
@@ -1,7 +1,7 @@
 """Messages of the key-value store.
 
-The structures have the protocol's field names; the functions map them to the core's types. A body
-that is not what the protocol says raises msgspec.DecodeError.
+The structures use the protocol's field names; their methods and the functions below map them to the
+core's types. Decoding a body that violates the protocol raises msgspec.DecodeError.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 
 
 class Pair(msgspec.Struct):
-    """A key with its value; also the answer to GET /kv with a key."""
+    """A key with its value and version; also the response body of GET /kv with a key."""
 
     path: str
     data: Any
     stamp: int
 
     def item(self) -> Item:
-        """The key in the core's terms."""
+        """Convert to the core's type."""
         return Item(self.path, self.data, Version(self.stamp))
 
 
 class PageBody(msgspec.Struct):
-    """The answer to GET /kv with a prefix."""
+    """The response body of GET /kv with a prefix: one page of its keys."""
 
     pairs: list[Pair]
     more: bool
@@ -35,25 +35,25 @@
 
 
 class RevisionBody(msgspec.Struct):
-    """The answer to a transaction that was carried out, and to a read of a missing key."""
+    """The response body of a committed transaction, and of a read of a key that does not exist."""
 
     ledger_rev: int
 
 
-class RefusedBody(msgspec.Struct):
-    """The answer to a transaction whose conditions failed."""
+class FailedConditionsBody(msgspec.Struct):
+    """The response body of a transaction that was rejected because conditions failed."""
 
     failed: list[str]
 
 
-class GrantBody(msgspec.Struct):
-    """The answer to POST /grants."""
+class LeaseBody(msgspec.Struct):
+    """The response body of POST /grants: the id of the new lease."""
 
     permit: int
 
 
 class Change(msgspec.Struct, rename={"put": "set"}):
-    """One change in a watch."""
+    """One changed key in a watch response: either `put` or `delete` names the key."""
 
     put: str | None = None
     delete: str | None = None
@@ -61,81 +61,81 @@
     stamp: int = 0
 
     def item(self) -> Item:
-        """The key in the core's terms; a version of 0 marks a removed key."""
+        """Convert to the core's type; version 0 marks a removed key."""
         if self.put is not None:
             return Item(self.put, self.data, Version(self.stamp))
         return Item(self.delete or "", None, Version(0))
 
 
 class ChangesBody(msgspec.Struct):
-    """The answer to GET /changes."""
+    """The response body of GET /changes."""
 
     ledger_rev: int
     news: list[Change] = []
 
 
 class ItemPage(msgspec.Struct, frozen=True):
-    """One page of the keys with a prefix, as they were at the revision."""
+    """One page of the keys with a prefix, as of `revision`."""
 
     items: list[Item]
     more: bool
-    """Whether another page follows, after the last key."""
+    """Whether another page follows; it starts after this page's last key."""
     revision: Version
 
 
-_pair = msgspec.msgpack.Decoder(Pair)
-_page = msgspec.msgpack.Decoder(PageBody)
-_revision = msgspec.msgpack.Decoder(RevisionBody)
-_refused = msgspec.msgpack.Decoder(RefusedBody)
-_grant = msgspec.msgpack.Decoder(GrantBody)
-_changes = msgspec.msgpack.Decoder(ChangesBody)
+_pair_decoder = msgspec.msgpack.Decoder(Pair)
+_page_decoder = msgspec.msgpack.Decoder(PageBody)
+_revision_decoder = msgspec.msgpack.Decoder(RevisionBody)
+_failed_conditions_decoder = msgspec.msgpack.Decoder(FailedConditionsBody)
+_lease_decoder = msgspec.msgpack.Decoder(LeaseBody)
+_changes_decoder = msgspec.msgpack.Decoder(ChangesBody)
 _encoder = msgspec.msgpack.Encoder()
 
 
 def decode_item(body: bytes) -> Item:
-    """The answer to GET /kv with a key that exists."""
-    return _pair.decode(body).item()
+    """Decode the response of GET /kv with an existing key."""
+    return _pair_decoder.decode(body).item()
 
 
 def decode_page(body: bytes) -> ItemPage:
-    """The answer to GET /kv with a prefix."""
-    page = _page.decode(body)
+    """Decode the response of GET /kv with a prefix."""
+    page = _page_decoder.decode(body)
     return ItemPage([pair.item() for pair in page.pairs], page.more, Version(page.ledger_rev))
 
 
 def decode_changes(body: bytes) -> WatchResult:
-    """The answer to GET /changes."""
-    changes = _changes.decode(body)
+    """Decode the response of GET /changes."""
+    changes = _changes_decoder.decode(body)
     return WatchResult(Version(changes.ledger_rev), [change.item() for change in changes.news])
 
 
 def decode_revision(body: bytes) -> Version:
-    """The revision in the answer to a transaction, or to a read of a key that does not exist."""
-    return Version(_revision.decode(body).ledger_rev)
+    """Decode the revision of a committed transaction, or of a read of a key that does not exist."""
+    return Version(_revision_decoder.decode(body).ledger_rev)
 
 
 def decode_failed_keys(body: bytes) -> frozenset[str]:
-    """The keys whose conditions failed, of a transaction that was not carried out."""
-    return frozenset(_refused.decode(body).failed)
+    """Decode the keys whose conditions failed from the response to a rejected transaction."""
+    return frozenset(_failed_conditions_decoder.decode(body).failed)
 
 
 def decode_lease(body: bytes) -> LeaseId:
-    """The answer to POST /grants."""
-    return LeaseId(_grant.decode(body).permit)
+    """Decode the response of POST /grants: the id of the new lease."""
+    return LeaseId(_lease_decoder.decode(body).permit)
 
 
 def encode_transaction(commits: list[Commit]) -> bytes:
-    """The body of POST /commit that carries out all of these, or none."""
+    """Encode the request body of POST /commit: one transaction of all these commits."""
     conditions = {key: version for commit in commits for key, version in commit.conditions}
     return _encoder.encode(
         {
             "if": [{"path": key, "stamp": version} for key, version in conditions.items()],
-            "writes": [_write(write) for commit in commits for write in commit.writes],
+            "writes": [_write_fields(write) for commit in commits for write in commit.writes],
         }
     )
 
 
-def _write(write: Put | Remove) -> dict[str, Any]:
+def _write_fields(write: Put | Remove) -> dict[str, Any]:
     if not isinstance(write, Put):
         return {"delete": write.key}
     if write.lease is None:
@@ -144,5 +144,5 @@
 
 
 def encode_lease_request(life_s: float) -> bytes:
-    """The body of POST /grants."""
+    """Encode the request body of POST /grants, for a lease of `life_s` seconds."""
     return _encoder.encode({"life_ms": int(life_s * 1000)})
--- a/src/crosscleat/wire/users.py
+++ b/src/crosscleat/wire/users.py
@@ -1,6 +1,6 @@
-"""Messages of users: the job that a submission describes.
+"""Messages of users: the submission of a job.
 
-The structure has the protocol's field names; `job` maps them to the core's type.
+The structure uses the protocol's field names; `job_spec` maps them to the core's type.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class Submission(msgspec.Struct):
-    """The body of POST /work."""
+    """The request body of POST /work."""
 
     ref: Text
     jobline: Text
@@ -54,8 +54,8 @@
     yard: str | None = None
     due_s: Amount | None = None
 
-    def job(self) -> JobSpec:
-        """The job in the core's terms."""
+    def job_spec(self) -> JobSpec:
+        """Convert to the core's type."""
         return JobSpec(
             ref=JobRef(self.ref),
             job_class=self.jobline,
@@ -81,45 +81,46 @@
 
 
 _decoder = msgspec.msgpack.Decoder(Submission)
-_any_decoder = msgspec.msgpack.Decoder()
+_untyped_decoder = msgspec.msgpack.Decoder()
 
 
 class MalformedSubmission(msgspec.Struct, frozen=True):
-    """A body that describes no job, is too long, or has a number that is not finite."""
+    """The body is not a valid submission, is too long, or has a number that is not finite."""
 
     ref: JobRef | None
-    """The job's name, if that much is readable: a job of this name may exist already."""
+    """The job's name if it is valid and can be decoded: a job of this name may exist already."""
 
 
 def parse_submission(body: bytes) -> JobSpec | MalformedSubmission:
-    """The job that the body of POST /work describes."""
+    """Decode and validate the request body of POST /work."""
     try:
         submission = _decoder.decode(body)
     except (msgspec.DecodeError, ValueError, RecursionError):
-        return MalformedSubmission(_name_in(body))
+        return MalformedSubmission(_decode_job_ref(body))
     if not is_job_ref(submission.ref):
         return MalformedSubmission(None)
-    if not _fits(body) or not all(map(math.isfinite, _amounts(submission))):
+    if not _within_size_limit(body) or not all(map(math.isfinite, _numeric_fields(submission))):
         return MalformedSubmission(JobRef(submission.ref))
-    return submission.job()
+    return submission.job_spec()
 
 
-def _fits(body: bytes) -> bool:
-    """Whether the body keeps to the size limit.
+def _within_size_limit(body: bytes) -> bool:
+    """Whether the body keeps to the size limit, which applies to its length as JSON.
 
-    That counts JSON, which is seldom more than four times as long.
+    JSON is seldom more than four times as long as MessagePack, so only a body of more than a
+    quarter of the limit is encoded as JSON to measure it.
     """
     if len(body) > MAX_BYTES:
         return False
     if len(body) * 4 <= MAX_BYTES:
         return True
     try:
-        return len(msgspec.json.encode(_any_decoder.decode(body))) <= MAX_BYTES
+        return len(msgspec.json.encode(_untyped_decoder.decode(body))) <= MAX_BYTES
     except (TypeError, ValueError):
         return False
 
 
-def _amounts(submission: Submission) -> tuple[float, ...]:
+def _numeric_fields(submission: Submission) -> tuple[float, ...]:
     return (
         submission.cores,
         submission.gpus,
@@ -132,9 +133,9 @@
     )
 
 
-def _name_in(body: bytes) -> JobRef | None:
+def _decode_job_ref(body: bytes) -> JobRef | None:
     try:
-        raw: Any = _any_decoder.decode(body)
+        raw: Any = _untyped_decoder.decode(body)
     except (msgspec.DecodeError, ValueError, RecursionError, TypeError):
         return None
     ref = raw.get("ref") if isinstance(raw, dict) else None
--- a/src/crosscleat/wire/workers.py
+++ b/src/crosscleat/wire/workers.py
@@ -1,6 +1,6 @@
-"""Messages of workers.
+"""Messages from and to workers: heartbeats and orders.
 
-The structures have the protocol's field names; the functions map them to the core's types.
+The structures use the protocol's field names; the functions map them to the core's types.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
 }
 
 
-class Pick(msgspec.Struct, rename={"attempt": "try"}):
-    """The status of one attempt in a heartbeat."""
+class TaskStatusEntry(msgspec.Struct, rename={"attempt": "try"}):
+    """The status of one attempt of a task in a heartbeat."""
 
     pick: str
     attempt: int
@@ -43,7 +43,7 @@
 
 
 class HeartbeatBody(msgspec.Struct):
-    """The body of POST /checkin, and of a worker's answer to POST /do."""
+    """The request body of POST /checkin, and the worker's response body to POST /do."""
 
     box: str
     addr: str
@@ -53,12 +53,12 @@
     shift: int
     tally: int
     baton: int
-    picks: list[Pick]
+    picks: list[TaskStatusEntry]
     recall_s: float | None = None
 
 
 class HeartbeatReply(msgspec.Struct, frozen=True):
-    """The HTTP answer to a heartbeat, made here or by the peer to which it was relayed."""
+    """The HTTP response to a heartbeat, from this controller or the peer it was relayed to."""
 
     status: int
     body: bytes
@@ -66,28 +66,28 @@
 
 MALFORMED = HeartbeatReply(400, b"")
 UNAVAILABLE = HeartbeatReply(503, b"")
-"""Neither this controller nor a peer that it reaches leads: the worker tries another one."""
+"""Neither this controller nor a peer that it can reach leads; the worker tries another one."""
 
 _decoder = msgspec.msgpack.Decoder(HeartbeatBody)
 _encoder = msgspec.msgpack.Encoder()
 
 
 def parse_heartbeat(body: bytes) -> Heartbeat | None:
-    """The heartbeat in a body; None if it is malformed.
+    """Decode a heartbeat; None if the body is malformed.
 
-    A task whose name is no task's is left out.
+    Entries whose task id cannot be parsed are left out.
     """
     try:
         raw = _decoder.decode(body)
     except (msgspec.DecodeError, ValueError, RecursionError):
         return None
     tasks = []
-    for pick in raw.picks:
-        task = TaskId.parse(pick.pick)
+    for entry in raw.picks:
+        task = TaskId.parse(entry.pick)
         if task is not None:
-            state = STATES.get(pick.status, pick.status)
-            attempt = Attempt(pick.attempt)
-            tasks.append(TaskStatus(task, attempt, state, pick.cause, pick.saved is True))
+            state = STATES.get(entry.status, entry.status)
+            attempt = Attempt(entry.attempt)
+            tasks.append(TaskStatus(task, attempt, state, entry.cause, entry.saved is True))
     return Heartbeat(
         machine=MachineId(raw.box),
         address=raw.addr,
@@ -101,7 +101,7 @@
     )
 
 
-def _order(order: Order) -> dict[str, Any]:
+def _order_fields(order: Order) -> dict[str, Any]:
     if isinstance(order, StartOrder):
         return {"verb": "start", "pick": order.task, "try": order.attempt}
     if isinstance(order, ClearOrder):
@@ -115,14 +115,14 @@
 
 
 def encode_heartbeat_response(token: Token, orders: tuple[Order, ...]) -> bytes:
-    """The body of the answer to POST /checkin."""
-    return _encoder.encode({"baton": token, "orders": [_order(order) for order in orders]})
+    """Encode the response body of POST /checkin."""
+    return _encoder.encode({"baton": token, "orders": [_order_fields(order) for order in orders]})
 
 
 def encode_direct_command(
     token: Token, agent_epoch: AgentEpoch, orders: tuple[Order, ...]
 ) -> bytes:
-    """The body of POST /do."""
+    """Encode the request body of POST /do, which sends orders directly to a worker."""
     return _encoder.encode(
-        {"baton": token, "shift": agent_epoch, "orders": [_order(order) for order in orders]}
+        {"baton": token, "shift": agent_epoch, "orders": [_order_fields(order) for order in orders]}
     )
--- a/tests/test_encoded_settings.py
+++ b/tests/test_encoded_settings.py
@@ -19,10 +19,10 @@
     Endpoints,
     NextLimits,
     ObjectiveSettings,
-    Params,
     Peer,
-    Resources,
+    ResourceLimits,
     Settings,
+    SharedSettings,
     StateSettings,
     TeamSettings,
     WorkerSettings,
@@ -116,7 +116,7 @@
     peer_bind="127.0.0.1:8081",
     peers=[Peer(member="n-0", zone="south", endpoint="127.0.0.2:8081")],
     endpoints=Endpoints(cloud="127.0.0.3:1", state="127.0.0.3:2"),
-    settings=Params(
+    settings=SharedSettings(
         teams=[TeamSettings(name="red", cpus=4.0, cpus_max=8.0, gpus=1.0, gpus_max=2.0)],
         objectives=[ObjectiveSettings(kind="wait", job_class="nightly", within_s=12.0)],
         workers=WorkerSettings(
@@ -130,7 +130,7 @@
             next=NextLimits(rps=100.0, write_rps=10.0, value_kb=2.5, txn_ops=5),
         ),
         cloud=CloudSettings(rps=8.0),
-        resources=Resources(max_sockets=300),
+        resources=ResourceLimits(max_sockets=300),
     ),
 )
 DEFAULTS = Settings(
@@ -140,7 +140,7 @@
     peer_bind="127.0.0.1:8081",
     peers=[],
     endpoints=Endpoints(cloud="127.0.0.3:1", state="127.0.0.3:2"),
-    settings=Params(
+    settings=SharedSettings(
         teams=[TeamSettings(name="red", cpus=0.0, cpus_max=0.0, gpus=0.0, gpus_max=0.0)],
         objectives=[],
         workers=WorkerSettings(
@@ -154,7 +154,7 @@
             next=NextLimits(rps=None, write_rps=None, value_kb=None, txn_ops=None),
         ),
         cloud=CloudSettings(rps=8.0),
-        resources=Resources(max_sockets=1000),
+        resources=ResourceLimits(max_sockets=1000),
     ),
 )
 DEPLOYMENT = Deployment(
@@ -183,8 +183,8 @@
 
 def test_settings_become_what_decisions_depend_on() -> None:
     assert SETTINGS.deployment(TuningOptions()) == DEPLOYMENT
-    assert SETTINGS.settings.state.tighter().rps == 100.0
-    assert SETTINGS.settings.state.tighter().write_rps == 10.0
+    assert SETTINGS.settings.state.strictest().rps == 100.0
+    assert SETTINGS.settings.state.strictest().write_rps == 10.0
 
 
 # Flags and variables
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -40,8 +40,8 @@
     health = Health(Store(clock, since))
     for _ in range(4):
         clock.now += 1.0
-        health.receive_ping("c1", Ping(served=True))
-        health.receive_ping("c2", Ping(served=False))
+        health.receive_ping("c1", Ping(store_available=True))
+        health.receive_ping("c2", Ping(store_available=False))
     assert health.is_cut_off()
 
     clock.now += 3.0
@@ -53,16 +53,16 @@
     health = Health(Store(clock, since))
     # The peer finds out a second later than this controller.
     clock.now += 0.9
-    health.receive_ping("c1", Ping(served=True))
+    health.receive_ping("c1", Ping(store_available=True))
     for _ in range(10):
         clock.now += 1.0
-        health.receive_ping("c1", Ping(served=False))
+        health.receive_ping("c1", Ping(store_available=False))
         assert not health.is_cut_off()
 
 
 def test_a_controller_with_store_is_ready_whatever_its_peers_report(clock: Time) -> None:
     health = Health(Store(clock))
-    health.receive_ping("c1", Ping(served=True))
+    health.receive_ping("c1", Ping(store_available=True))
 
     assert not health.is_cut_off()
 
@@ -71,14 +71,14 @@
     since = clock.now
     health = Health(Store(clock, since))
     for _ in range(8):
-        health.receive_ping("c1", Ping(served=False))
+        health.receive_ping("c1", Ping(store_available=False))
         clock.now += 1.0
     assert not health.is_cut_off(), "one peer is enough"
 
     clock.now += 8.0
     assert health.is_cut_off()
 
-    health.receive_ping("c1", Ping(served=False))
+    health.receive_ping("c1", Ping(store_available=False))
     assert not health.is_cut_off()
 
     alone = Health(Store(clock, since), has_peers=False)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crosscleat.cli import build_parser, read_tuning_options, variable
+from crosscleat.cli import build_parser, environment_variable, read_tuning_options
 from crosscleat.core.model.deployment import TuningOptions
 from crosscleat.settings import SettingsError, parse
 
@@ -128,7 +128,7 @@
     now = raw["settings"]["state"]
     raw["settings"]["state"] = {**now, "next": later}
     found = parse(raw, "file")
-    tighter = found.settings.state.tighter()
+    tighter = found.settings.state.strictest()
     for name, limit in now.items():
         assert getattr(tighter, name) == min(limit, later.get(name, limit))
 
@@ -161,12 +161,12 @@
 def test_flags_come_before_variables() -> None:
     arguments = build_parser().parse_args(["--config", "f", "--weight", "0.5"])
     tuning = read_tuning_options(
-        arguments, {variable("weight"): "0.1", variable("headroom"): "0.7"}
+        arguments, {environment_variable("weight"): "0.1", environment_variable("headroom"): "0.7"}
     )
 
     assert (tuning.weight, tuning.headroom, tuning.round_s) == (0.5, 0.7, TuningOptions().round_s)
     with pytest.raises(SettingsError, match="CROSSCLEAT_HEADROOM"):
-        read_tuning_options(arguments, {variable("headroom"): "much"})
+        read_tuning_options(arguments, {environment_variable("headroom"): "much"})
     with pytest.raises(SettingsError, match="weight"):
         read_tuning_options(build_parser().parse_args(["--config", "f", "--weight", "2"]), {})
 
