--- a/src/crosscleat/adapters/peer_link.py
+++ b/src/crosscleat/adapters/peer_link.py
@@ -64,7 +64,7 @@
         future: asyncio.Future[HeartbeatReply | None] = asyncio.get_running_loop().create_future()
         self._relays[number] = future
         try:
-            if not self.send(wire.RelayRequest(number, body)):
+            if not self.send(wire.Relay(number, body)):
                 return None
             async with Deadline(RELAY_TIMEOUT_S):
                 return await future
@@ -118,7 +118,7 @@
                     future.set_result(None)
 
     def _handle(self, message: wire.Message) -> None:
-        if isinstance(message, wire.RelayReply):
+        if isinstance(message, wire.Relayed):
             future = self._relays.get(message.number)
             if future is not None and not future.done():
                 future.set_result(HeartbeatReply(message.status, message.body))
--- a/src/crosscleat/adapters/peer_server.py
+++ b/src/crosscleat/adapters/peer_server.py
@@ -61,7 +61,7 @@
             writer.transport.abort()
 
     def _handle(self, peer: str, message: wire.Message, writer: asyncio.StreamWriter) -> None:
-        if isinstance(message, wire.RelayRequest):
+        if isinstance(message, wire.Relay):
             self._replies.start(self._reply(message, writer))
         elif isinstance(message, wire.OneWayMessage):
             self._service.receive_peer_message(peer, message)
@@ -69,9 +69,9 @@
             self._health.receive_ping(peer, message)
             writer.write(wire.encode_frame(self._health.ping()))
 
-    async def _reply(self, relay: wire.RelayRequest, writer: asyncio.StreamWriter) -> None:
+    async def _reply(self, relay: wire.Relay, writer: asyncio.StreamWriter) -> None:
         received_at = steady()
         reply = await self._service.receive_relayed_heartbeat(relay.body)
         # After this time the peer does not wait for the reply any more.
         if steady() - received_at < RELAY_TIMEOUT_S and not writer.is_closing():
-            writer.write(wire.encode_frame(wire.RelayReply(relay.number, reply.status, reply.body)))
+            writer.write(wire.encode_frame(wire.Relayed(relay.number, reply.status, reply.body)))
--- a/src/crosscleat/runtime/driver.py
+++ b/src/crosscleat/runtime/driver.py
@@ -82,7 +82,7 @@
             link.send(message)
 
     def _broadcast_progress(self, effect: BroadcastProgress) -> None:
-        self._broadcast(wire.TaskCounts(effect.counts))
+        self._broadcast(wire.Counts(effect.counts))
 
     def _ask_peers_to_probe(self, effect: IndirectProbe) -> None:
         self._broadcast(wire.IndirectProbe(effect.address, effect.token, effect.agent_epoch))
--- a/src/crosscleat/runtime/service.py
+++ b/src/crosscleat/runtime/service.py
@@ -51,7 +51,7 @@
         self._health = health
         self._probes = BackgroundTasks(log)
         self._message_handlers: dict[type[Any], Callable[[str, Any], None]] = {
-            peer_wire.TaskCounts: self._receive_progress,
+            peer_wire.Counts: self._receive_progress,
             peer_wire.ShardRequest: self._receive_shard_request,
             peer_wire.ShardProposed: self._receive_shard_proposal,
             peer_wire.IndirectProbe: self._receive_probe_request,
@@ -106,7 +106,7 @@
         """Act on a peer's message that needs no reply on the same link."""
         self._message_handlers[type(message)](member, message)
 
-    def _receive_progress(self, _: str, message: peer_wire.TaskCounts) -> None:
+    def _receive_progress(self, _: str, message: peer_wire.Counts) -> None:
         self._driver.step(ProgressReceived(message.jobs))
 
     def _receive_shard_request(self, member: str, message: peer_wire.ShardRequest) -> None:
--- a/src/crosscleat/wire/peers.py
+++ b/src/crosscleat/wire/peers.py
@@ -26,22 +26,22 @@
     store_available: bool
 
 
-class RelayRequest(msgspec.Struct, array_like=True, tag="relay", frozen=True):
+class Relay(msgspec.Struct, array_like=True, tag="relay", frozen=True):
     """Forwards a worker's heartbeat to the leader, with the body as it was received."""
 
     number: int
     body: bytes
 
 
-class RelayReply(msgspec.Struct, array_like=True, tag="relayed", frozen=True):
-    """The receiver's HTTP response to the RelayRequest of the same number."""
+class Relayed(msgspec.Struct, array_like=True, tag="relayed", frozen=True):
+    """The receiver's HTTP response to the Relay of the same number."""
 
     number: int
     status: int
     body: bytes
 
 
-class TaskCounts(msgspec.Struct, array_like=True, tag="counts", frozen=True):
+class Counts(msgspec.Struct, array_like=True, tag="counts", frozen=True):
     """The leader's numbers of completed and running tasks, in this order, by job."""
 
     jobs: dict[str, tuple[int, int]]
@@ -76,16 +76,16 @@
 Message = (
     Hello
     | Ping
-    | RelayRequest
-    | RelayReply
-    | TaskCounts
+    | Relay
+    | Relayed
+    | Counts
     | ShardRequest
     | ShardProposed
     | IndirectProbe
     | ProbeReply
 )
 
-OneWayMessage = TaskCounts | ShardRequest | ShardProposed | IndirectProbe | ProbeReply
+OneWayMessage = Counts | ShardRequest | ShardProposed | IndirectProbe | ProbeReply
 """Messages that the receiver does not answer on the same connection."""
 
 _decoder = msgspec.msgpack.Decoder(Message)
--- a/tests/samples_394dfe6.py
+++ b/tests/samples_394dfe6.py
@@ -38,9 +38,9 @@
 FRAMES_394DFE6: dict[str, peers.Message] = {
     "0000000a92a568656c6c6fa26330": peers.Hello("c0"),
     "0000000792a470696e67c3": peers.Ping(True),
-    "0000000b93a572656c617903c40178": peers.RelayRequest(3, b"x"),
-    "0000000f94a772656c6179656403ccc8c40179": peers.RelayReply(3, 200, b"y"),
-    "0000001292a6636f756e747381a56a6f622d31920102": peers.TaskCounts({"job-1": (1, 2)}),
+    "0000000b93a572656c617903c40178": peers.Relay(3, b"x"),
+    "0000000f94a772656c6179656403ccc8c40179": peers.Relayed(3, 200, b"y"),
+    "0000001292a6636f756e747381a56a6f622d31920102": peers.Counts({"job-1": (1, 2)}),
     "0000001494a570726f6265aa31302e302e302e313a392901": peers.IndirectProbe("10.0.0.1:9", 41, 1),
     "0000000b92a670726f626564c4017a": peers.ProbeReply(b"z"),
 }
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -327,9 +327,9 @@
 MESSAGES: list[tuple[list[Any], peers.Message]] = [
     (["hello", "c1"], peers.Hello(member="c1")),
     (["ping", True], peers.Ping(store_available=True)),
-    (["relay", 3, b"body"], peers.RelayRequest(number=3, body=b"body")),
-    (["relayed", 3, 200, b"body"], peers.RelayReply(number=3, status=200, body=b"body")),
-    (["counts", {"job-1": [2, 3]}], peers.TaskCounts(jobs={"job-1": (2, 3)})),
+    (["relay", 3, b"body"], peers.Relay(number=3, body=b"body")),
+    (["relayed", 3, 200, b"body"], peers.Relayed(number=3, status=200, body=b"body")),
+    (["counts", {"job-1": [2, 3]}], peers.Counts(jobs={"job-1": (2, 3)})),
     (["part", ENCODED_VIEW], peers.ShardRequest(view=VIEW)),
     (
         ["proposed", [7, [["job-1", "m-1"], ["job-2", "m-2"]]]],
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -239,10 +239,10 @@
         st.builds(peers.Ping, st.booleans()),
         st.builds(peers.IndirectProbe, st.text(), st.integers(0, 2**60), st.integers(0, 2**60)),
         st.builds(peers.ProbeReply, st.binary(max_size=50)),
-        st.builds(peers.RelayRequest, st.integers(0, 2**60), st.binary(max_size=50)),
-        st.builds(peers.RelayReply, st.integers(0, 2**60), st.integers(100, 599), st.binary()),
+        st.builds(peers.Relay, st.integers(0, 2**60), st.binary(max_size=50)),
+        st.builds(peers.Relayed, st.integers(0, 2**60), st.integers(100, 599), st.binary()),
         st.builds(
-            peers.TaskCounts,
+            peers.Counts,
             st.dictionaries(refs, st.tuples(st.integers(0, 9), st.integers(0, 9)), max_size=3),
         ),
         st.builds(
@@ -271,9 +271,9 @@
         message,
         peers.Hello
         | peers.Ping
-        | peers.RelayRequest
-        | peers.RelayReply
-        | peers.TaskCounts
+        | peers.Relay
+        | peers.Relayed
+        | peers.Counts
         | peers.ShardRequest
         | peers.ShardProposed
         | peers.IndirectProbe
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -334,7 +334,7 @@
 def test_a_message_too_long_for_any_receiver_is_not_framed() -> None:
     counts = {f"job-{number:06d}": (1, 2) for number in range(200_000)}
     with pytest.raises(peer_wire.FrameTooLongError):
-        peer_wire.encode_frame(peer_wire.TaskCounts(counts))
+        peer_wire.encode_frame(peer_wire.Counts(counts))
 
 
 def test_the_records_of_a_large_gang_are_looked_through_once_and_not_once_a_task(
