--- a/src/crosscleat/core/capacity/scaling.py
+++ b/src/crosscleat/core/capacity/scaling.py
@@ -177,7 +177,7 @@
         """
         interval_s = self._term.deployment.heartbeat_interval_s
         wait_s = min(MAX_DISCOVERY_S, interval_s * DISCOVERY_HEARTBEATS)
-        return not self._expects_machines or now - self._term.began > wait_s
+        return not self._expects_machines or now - self._term.began_at > wait_s
 
     # Budget
 
@@ -222,7 +222,7 @@
         self._rental_count += 1
         # The token belongs to this term alone: no other controller, and no earlier process of this
         # one, uses the same name.
-        self._send(f"r-{self._term.began_token}-{self._rental_count}", request, 1)
+        self._send(f"r-{self._term.initial_token}-{self._rental_count}", request, 1)
 
     def _send(self, name: str, request: ScaleOutRequest, attempt: int) -> None:
         pool = request.pool
