--- a/src/crosscleat/core/control/takeover.py
+++ b/src/crosscleat/core/control/takeover.py
@@ -22,7 +22,7 @@
     `job_records` are the records of live jobs.
     """
     for item in job_records:
-        job = leader.job_changes.read(item, now)
+        job = leader.job_changes.create_job(item, now)
         leader.jobs[job.ref] = job
     if not (placement_records or decommission_records):
         leader.autoscaler.expect_no_machines()
--- a/tests/test_upgrade_coordination.py
+++ b/tests/test_upgrade_coordination.py
@@ -99,7 +99,7 @@
     complete: bool,
 ) -> None:
     requests, outbox = user_requests()
-    requests._all_know_gangs = lambda: complete
+    requests._all_support_gangs = lambda: complete
     requests.submit(1, job("job-g", tasks=2, shape=Shape.GANG), WallTime(0.0))
     effects = outbox.take()
     if complete:
