--- a/src/crosscleat/core/control/heartbeat_receiver.py
+++ b/src/crosscleat/core/control/heartbeat_receiver.py
@@ -58,7 +58,7 @@
             # workers stopped waiting for the responses.
             machine.responses_unbroken_since = now
         machine.last_heartbeat_at = machine.last_response_at = now
-        shows_term_token = machine.shown_token >= self._term.initial_token
+        shows_term_token = machine.reported_token >= self._term.initial_token
         machine.last_possible_renewal = (
             now if shows_term_token else max(machine.last_possible_renewal, now)
         )
--- a/src/crosscleat/core/control/liveness.py
+++ b/src/crosscleat/core/control/liveness.py
@@ -60,7 +60,7 @@
         self._election = election
         self._contact = contact
         self._responses = responses
-        self.silent_s = deployment.silent_s
+        self.silent_s = deployment.heartbeat_timeout_s
         """Time without a heartbeat after which a machine is deleted."""
         self.quiet_s = 1.5 * deployment.heartbeat_interval_s + 1.0
         """Time without a heartbeat after which a machine has missed one."""
--- a/src/crosscleat/core/control/orders.py
+++ b/src/crosscleat/core/control/orders.py
@@ -44,7 +44,7 @@
                     orders.append(
                         StopOrder(str(allocation.task), allocation.attempt, allocation.grace_s)
                     )
-                elif machine.shown_token <= machine.direct.pending_start_token:
+                elif machine.reported_token <= machine.direct.pending_start_token:
                     self._request_rotation(machine)
             elif may_start and self._is_startable(machine, allocation):
                 orders.append(StartOrder(str(allocation.task), allocation.attempt))
@@ -92,7 +92,7 @@
         # is done, because its result is kept.
         done = machine.exited[key] == heartbeats.DONE
         repeat_token = NO_TOKEN if done else machine.direct.starts.get(key, NO_TOKEN)
-        if machine.shown_token <= max(machine.direct.pending_start_token, repeat_token):
+        if machine.reported_token <= max(machine.direct.pending_start_token, repeat_token):
             self._request_rotation(machine)
             return False
         task, attempt = key
@@ -103,5 +103,5 @@
         return chunk is None or (task.number, attempt, machine.id) not in chunk.recorded
 
     def _request_rotation(self, machine: Machine) -> None:
-        if machine.shown_token >= self._term.initial_token:
+        if machine.reported_token >= self._term.initial_token:
             self._pending.token_rotation_wanted = True
--- a/src/crosscleat/core/control/retries.py
+++ b/src/crosscleat/core/control/retries.py
@@ -73,7 +73,7 @@
             self._term.outbox.log(
                 "info", f"machine {machine.id}: quarantined, several jobs failed on it"
             )
-        if failures == 1 and job.succeeded:
+        if failures == 1 and job.has_completed_task:
             return 0.0
         return min(MAX_FAILURE_PAUSE_S, 0.5 * 2.0**failures)
 
--- a/src/crosscleat/core/control/worker_contact.py
+++ b/src/crosscleat/core/control/worker_contact.py
@@ -99,7 +99,7 @@
         return (
             self._ticks_without_heartbeat >= MIN_TICKS
             and reporting_count > 1
-            and now - self._last_heartbeat_at > self._deployment.silent_s
+            and now - self._last_heartbeat_at > self._deployment.heartbeat_timeout_s
         )
 
     def _is_cut_off(self, machines: list[Machine], now: Seconds) -> bool:
--- a/src/crosscleat/core/scheduling/gang_placement.py
+++ b/src/crosscleat/core/scheduling/gang_placement.py
@@ -12,7 +12,7 @@
 
 from ..model.deployment import Deployment
 from ..model.ids import Seconds, Zone
-from ..state.gangs import FETCH_SPREAD, start_delay_s
+from ..state.gangs import MAX_FETCH_TIME_FACTOR, start_delay_s
 from ..state.jobs import Job
 from .feasibility import Feasibility
 from .free_capacity import FreeCapacity, group_by_zone
@@ -52,7 +52,7 @@
         `ranked` are the candidates that the job may use, best first. Returns one candidate for each
         task, or an empty list if the tasks do not all fit.
         """
-        return self._take_best(job, ranked, self._deployment.gang_wait_s / FETCH_SPREAD)
+        return self._take_best(job, ranked, self._deployment.gang_wait_s / MAX_FETCH_TIME_FACTOR)
 
     def complete(
         self, job: Job, ranked: list[FreeCapacity], time_left_s: float
@@ -61,7 +61,7 @@
         in_time = [
             candidate
             for candidate in ranked
-            if self._start_delay_s(job, candidate) * FETCH_SPREAD <= time_left_s
+            if self._start_delay_s(job, candidate) * MAX_FETCH_TIME_FACTOR <= time_left_s
         ]
         return self._take_best(job, in_time, time_left_s)
 
--- a/src/crosscleat/core/scheduling/shard_planning.py
+++ b/src/crosscleat/core/scheduling/shard_planning.py
@@ -59,7 +59,7 @@
         Version(0),
         Seconds(now - view.age_s),
         first_untried=max(0, view.spec.tasks - view.waiting_tasks),
-        succeeded=True,
+        has_completed_task=True,
         failed_on=set(view.failed_on),
         at_risk=view.at_risk,
         # Without idle time, the job does not ignore reserves here: only the leader decides which
