--- a/src/crosscleat/adapters/health.py
+++ b/src/crosscleat/adapters/health.py
@@ -43,7 +43,7 @@
     def receive_ping(self, peer: str, ping: Ping) -> None:
         """Record whether the store serves the peer."""
         self._last_ping_at = monotonic_time()
-        if ping.served:
+        if ping.store_available:
             self._served_at[peer] = monotonic_time()
         else:
             self._served_at.pop(peer, None)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -44,8 +44,8 @@
     health = Health(FakeStoreStatus(clock, outage_start))
     for _ in range(4):
         clock.now += 1.0
-        health.receive_ping("c1", Ping(served=True))
-        health.receive_ping("c2", Ping(served=False))
+        health.receive_ping("c1", Ping(store_available=True))
+        health.receive_ping("c2", Ping(store_available=False))
     assert health.is_isolated()
 
     clock.now += 3.0
@@ -57,10 +57,10 @@
     health = Health(FakeStoreStatus(clock, outage_start))
     # The peer detects the outage a second later than this controller.
     clock.now += 0.9
-    health.receive_ping("c1", Ping(served=True))
+    health.receive_ping("c1", Ping(store_available=True))
     for _ in range(10):
         clock.now += 1.0
-        health.receive_ping("c1", Ping(served=False))
+        health.receive_ping("c1", Ping(store_available=False))
         assert not health.is_isolated()
 
 
@@ -68,7 +68,7 @@
     clock: FakeClock,
 ) -> None:
     health = Health(FakeStoreStatus(clock))
-    health.receive_ping("c1", Ping(served=True))
+    health.receive_ping("c1", Ping(store_available=True))
 
     assert not health.is_isolated()
 
@@ -79,14 +79,14 @@
     outage_start = clock.now
     health = Health(FakeStoreStatus(clock, outage_start))
     for _ in range(8):
-        health.receive_ping("c1", Ping(served=False))
+        health.receive_ping("c1", Ping(store_available=False))
         clock.now += 1.0
     assert not health.is_isolated(), "pings from one peer are enough"
 
     clock.now += 8.0
     assert health.is_isolated()
 
-    health.receive_ping("c1", Ping(served=False))
+    health.receive_ping("c1", Ping(store_available=False))
     assert not health.is_isolated()
 
     without_peers = Health(FakeStoreStatus(clock, outage_start), has_peers=False)
