--- a/src/crosscleat/core/scheduling/assignment_search.py
+++ b/src/crosscleat/core/scheduling/assignment_search.py
@@ -59,11 +59,13 @@
         if best is None:
             return
         self._sequence += 1
-        score, candidate = best
+        negated_score, candidate = best
         if self._selection.must_start_next(job):
-            score = -math.inf
+            negated_score = -math.inf
         negated_age = job.submitted - self._feasibility.now
-        heapq.heappush(self._heap, BestPair(score, negated_age, self._sequence, job, candidate))
+        heapq.heappush(
+            self._heap, BestPair(negated_score, negated_age, self._sequence, job, candidate)
+        )
 
     def commit(self, max_assignments: int) -> None:
         """Stage two: commit the best pair until none is left or `max_assignments` are reached."""
--- a/src/crosscleat/core/scheduling/cycle.py
+++ b/src/crosscleat/core/scheduling/cycle.py
@@ -27,7 +27,7 @@
 
 
 class SchedulingCycle:
-    """Plans from a fixed state of the cluster. Calls are independent of each other."""
+    """Plans from the state of the cluster at one moment; each call starts again from it."""
 
     def __init__(self, context: CycleContext, scorer: Scorer, rng: Random) -> None:
         self._context = context
@@ -109,7 +109,8 @@
     ) -> list[Assignment]:
         """Assign the missing tasks of a waiting gang to machines.
 
-        Returns assignments for all of them, each able to start within `time_left_s`, or none.
+        Returns one assignment for each of them, or an empty list if they cannot all start within
+        `time_left_s`.
         """
         feasibility = Feasibility(self._context, machines)
         candidates = select_candidates(feasibility.candidates, [job], self._context.now)
--- a/src/crosscleat/core/scheduling/feasibility.py
+++ b/src/crosscleat/core/scheduling/feasibility.py
@@ -149,6 +149,7 @@
         return job.spec.cpus >= LARGE_TASK_SHARE * candidate.machine.type.cpus
 
     def _leaves_reserve(self, job: Job, count: int) -> bool:
+        """Whether `count` more tasks of the job leave the reserve free that applies to the job."""
         if job.spec.priority >= Priority.HIGH or self.gang_goes_first(job):
             return True
         reserve = self._backfill_reserve if job.backfill else self._urgent_reserve
--- a/src/crosscleat/core/scheduling/gang_placement.py
+++ b/src/crosscleat/core/scheduling/gang_placement.py
@@ -1,7 +1,7 @@
 """Finds machines for all tasks of a gang at once (DESIGN: a gang commits whole or not at all).
 
 A gang is scored as a whole: it starts when the last of its machines has the image, and each task
-occupies its capacity from its placement on.
+occupies its capacity from the time of its placement.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
         self._deployment = deployment
 
     def place(self, job: Job, ranked: list[FreeCapacity]) -> list[FreeCapacity]:
-        """Take capacity for all tasks of the job by the best plan.
+        """Choose the best plan for all tasks of the job and take their capacity.
 
         `ranked` are the candidates that the job may use, best first. Returns one candidate for each
         task, or an empty list if the tasks do not all fit.
@@ -57,7 +57,11 @@
     def complete(
         self, job: Job, ranked: list[FreeCapacity], time_left_s: float
     ) -> list[FreeCapacity]:
-        """Like `place`, for the missing tasks, on candidates that can start in `time_left_s`."""
+        """Like `place`, for the missing tasks of a waiting gang.
+
+        Only candidates are used on which a task starts within `time_left_s`, even if it takes
+        `MAX_FETCH_TIME_FACTOR` times the computed delay.
+        """
         in_time = [
             candidate
             for candidate in ranked
--- a/src/crosscleat/core/scheduling/preemption.py
+++ b/src/crosscleat/core/scheduling/preemption.py
@@ -153,7 +153,10 @@
                 heapq.heappush(options, next_option)
 
     def _admitted_tasks(self, job: Job) -> int:
-        """How many waiting tasks the team's limits admit, beside those this pass claimed for."""
+        """How many of the job's waiting tasks the team's limits admit.
+
+        Tasks for which this pass has claimed capacity count as usage of their team.
+        """
         team = job.spec.team
         return tasks_within_limits(
             job.spec,
@@ -243,18 +246,20 @@
 
     def _would_void_start(self, allocation: Allocation) -> bool:
         """Whether the job would count as not started for its user if this task were stopped now."""
-        ran_s = 0.0 if allocation.running_since is None else self._now - allocation.running_since
+        run_time_s = (
+            0.0 if allocation.running_since is None else self._now - allocation.running_since
+        )
         job = self._jobs.get(allocation.task.job)
-        return job is not None and ran_s <= MIN_COUNTED_RUN_S and job.placed_count() <= 1
+        return job is not None and run_time_s <= MIN_COUNTED_RUN_S and job.placed_count() <= 1
 
     def _loss(self, allocation: Allocation) -> float:
         """CPU seconds that are lost if the task is stopped now."""
         if allocation.running_since is None:
             return 0.0
-        ran_s = self._now - allocation.running_since
+        lost_s = self._now - allocation.running_since
         if allocation.spec.checkpoint_s > 0:
-            ran_s = min(ran_s, allocation.spec.save_s)
-        return allocation.spec.cpus * ran_s
+            lost_s = min(lost_s, allocation.spec.save_s)
+        return allocation.spec.cpus * lost_s
 
     def _stop(self, option: PreemptionOption) -> None:
         for allocation in option.victims:
--- a/src/crosscleat/core/scheduling/ranking.py
+++ b/src/crosscleat/core/scheduling/ranking.py
@@ -69,7 +69,7 @@
         """Ranked candidates of each job, without those that no longer admit a task of it."""
 
     def best(self, job: Job) -> RankedCandidate | None:
-        """The candidate with the highest score for the job's next task.
+        """The candidate with the highest score for the job's next task, and its negated score.
 
         The candidates of a job are ranked once in a cycle, and a candidate that no longer admits a
         task of the job is dropped for good. This suffices because all tasks of a job are alike and
@@ -104,6 +104,7 @@
                 score = self._scorer.score(job, age, machine.type, spot, fetch_s)
                 # Scores are rounded so that the fuller of nearly equal machines is preferred. The
                 # others then empty and can be returned, or keep enough capacity for large tasks.
+                # Scores are negated so that the best candidates sort first.
                 score = scores[key] = -round(score, 2)
             entries.append(
                 (score, job.at_risk and machine.spot, candidate.cpus, position, candidate)
--- a/src/crosscleat/core/scheduling/reservations.py
+++ b/src/crosscleat/core/scheduling/reservations.py
@@ -24,12 +24,16 @@
 """Machines are reserved for a job that has waited at least this many seconds."""
 
 RESERVED_SHARE = 0.3
-"""Maximum share of the machines suitable for a job that is reserved, for all jobs together."""
+"""Maximum share of the machines suitable for a job that may be reserved. Reservations for all jobs
+count, and one machine may always be reserved."""
 
 
 @dataclass(slots=True)
 class MachineGroup:
-    """Candidates of one machine type and zone, on demand or spot; alike for every job."""
+    """Candidates with the same machine type and zone, all spot or all on-demand.
+
+    They are alike for every job.
+    """
 
     machine: Machine
     """Any machine of the group, as an example."""
--- a/src/crosscleat/core/scheduling/scoring.py
+++ b/src/crosscleat/core/scheduling/scoring.py
@@ -50,7 +50,7 @@
 changing the factor of a class too much."""
 
 MAX_RATIOS = 64
-"""Number of newest completed runs of a class that are kept."""
+"""Number of newest completed runs of a class from which its factor is computed."""
 
 
 class RunTimes:
@@ -66,12 +66,12 @@
         self.factors: dict[str, float] = dict(factors or {})
         """Actual run time as a multiple of the estimate, by class."""
 
-    def learn(self, job: JobSpec, ran_s: float) -> None:
-        """Compare a completed run with its user's estimate."""
-        if job.estimate_s <= 0 or ran_s <= 0:
+    def learn(self, job: JobSpec, run_time_s: float) -> None:
+        """Update the factor of the job's class with the run time of a completed run, in seconds."""
+        if job.estimate_s <= 0 or run_time_s <= 0:
             return
         ratios = self._ratios.setdefault(job.job_class, deque(maxlen=MAX_RATIOS))
-        ratios.append(ran_s / job.estimate_s)
+        ratios.append(run_time_s / job.estimate_s)
         factor = (sum(ratios) + PRIOR_RATIOS) / (len(ratios) + PRIOR_RATIOS)
         self.factors[job.job_class] = factor
 
@@ -106,7 +106,10 @@
         return DEFAULT_TARGET_S + DEFAULT_TARGET_RUNS * self._run_times.estimate(job)
 
     def completion_targets_s(self, job: JobSpec) -> list[float]:
-        """The job's deadline, else the completion objectives of its class, in ascending order."""
+        """Completion targets in seconds after submission, in ascending order.
+
+        These are the job's deadline, else the completion objectives of its class.
+        """
         if job.deadline_s is not None:
             return [job.deadline_s]
         return sorted(self.deployment.objective_limits("finished", job.job_class))
@@ -139,7 +142,10 @@
         return self._run_times.estimate(job)
 
     def machine_share(self, job: JobSpec, machine_type: MachineType) -> float:
-        """The largest of a task's shares of CPUs, GPUs and memory: others cannot use that much."""
+        """The share of such a machine that one task keeps other tasks from using.
+
+        This is the largest of its shares of the machine's CPUs, GPUs and memory.
+        """
         return max(
             job.cpus / machine_type.cpus if machine_type.cpus else 0.0,
             job.gpus / machine_type.gpus if machine_type.gpus else 0.0,
@@ -159,7 +165,8 @@
 class PairScorer:
     """Scores a task on a machine.
 
-    (1 - wf) * utility / max utility - wf * cost / max cost (paper section 3.2, eq. 1).
+    (1 - wf) * utility / max utility - wf * cost / max cost (paper section 3.2, eq. 1),
+    where wf is the setting `weight`.
     """
 
     def __init__(self, scorer: Scorer, max_cost: float) -> None:
--- a/src/crosscleat/core/scheduling/shard_dispatch.py
+++ b/src/crosscleat/core/scheduling/shard_dispatch.py
@@ -29,9 +29,11 @@
         self._cycle_number = 0
         """The number of the newest full cycle; views and proposals carry it."""
         self._wait_until: dict[Member, Seconds] = {}
-        """Shard owners without a proposal for this cycle, and until when it is awaited."""
+        """Shard owners without a proposal for the newest full cycle yet, and until when the jobs of
+        their shards wait for it."""
         self._punctual: set[Member] = set()
-        """Shard owners that answered the last view; jobs wait for the proposals of these only."""
+        """Shard owners that answered their last view before the next full cycle. Jobs wait only for
+        the proposals of these."""
 
     def shards(self, jobs: Iterable[Job]) -> dict[Member, list[Job]]:
         """The shardable waiting jobs by shard owner; empty if the leader owns all of them."""
--- a/src/crosscleat/core/scheduling/sharding.py
+++ b/src/crosscleat/core/scheduling/sharding.py
@@ -31,7 +31,8 @@
 """Maximum number of machines in a view. Of more, a sample is sent, to bound the message size."""
 
 MAX_VIEW_FAILED_ON = 50
-"""Maximum number of machines in a view on which a job failed; the leader checks against all."""
+"""Maximum number of machines on which a job failed that a view lists for the job; the leader checks
+proposals against all of them."""
 
 MIN_WEIGHT_CPUS = 1e-3
 """Minimum weight of a task, in CPUs, when a team's remaining quota is divided among shards."""
--- a/tests/test_cycle.py
+++ b/tests/test_cycle.py
@@ -83,10 +83,12 @@
         for assignment in plan_cycle([make_job("job-1", tasks=1)], [on_demand, spot])
     ] == ["m-1"]
 
-    ready, bare = make_machine("m-0"), make_machine("m-1")
-    ready.images.ready_at[Image("big")] = Seconds(0.0)
+    with_image, without_image = make_machine("m-0"), make_machine("m-1")
+    with_image.images.ready_at[Image("big")] = Seconds(0.0)
     large = make_job("job-1", tasks=1, image=Image("big"), image_gb=20.0)
-    assert [assignment.machine for assignment in plan_cycle([large], [bare, ready])] == ["m-0"]
+    assert [
+        assignment.machine for assignment in plan_cycle([large], [without_image, with_image])
+    ] == ["m-0"]
 
 
 def test_a_gang_waits_until_it_fits_whole() -> None:
--- a/tests/test_free_capacity.py
+++ b/tests/test_free_capacity.py
@@ -59,7 +59,7 @@
     for _ in range(2):
         free_capacity.take(spec)
 
-    assert free_capacity.cpus < 0.1, "the sum of decimal amounts is rounded"
+    assert free_capacity.cpus < 0.1, "floating-point rounding leaves slightly less than 0.1"
     assert free_capacity.fits(spec)
 
 
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -44,7 +44,9 @@
         self.jobs: dict[JobRef, Job] = {}
         self.machines = [make_machine(f"m-{number}") for number in range(machines)]
 
-    def run(self, ref: str, on: Machine, ran_s: float = 100.0, **changes: Any) -> list[Allocation]:
+    def run(
+        self, ref: str, on: Machine, run_time_s: float = 100.0, **changes: Any
+    ) -> list[Allocation]:
         """Places all tasks of a new job on the machine."""
         fields: dict[str, Any] = {"priority": Priority.LOW, "tasks": 2, "cpus": 4.0}
         running = Job(job(ref, **{**fields, **changes}), Version(1), Seconds(0.0))
@@ -53,7 +55,7 @@
         for _ in range(running.spec.tasks):
             task, attempt = running.place(on.id, AgentEpoch(1))
             allocation = Allocation(task, attempt, running.spec, on.id, on.zone, AgentEpoch(1))
-            allocation.running_since = Seconds(NOW - ran_s)
+            allocation.running_since = Seconds(NOW - run_time_s)
             self.cluster.add(on, allocation)
             allocations.append(allocation)
         return allocations
@@ -91,7 +93,7 @@
     assert len(cluster.preempt(urgent(tasks=2))) == 1
 
 
-def test_work_of_a_team_with_a_guarantee_yields_only_if_it_is_of_the_lowest_priority() -> None:
+def test_work_of_a_team_with_a_guarantee_is_preempted_only_at_the_lowest_priority() -> None:
     cluster = Cluster(1)
     cluster.run("job-0", cluster.machines[0], priority=Priority.NORMAL)
     assert cluster.preempt(urgent()) == []
@@ -102,7 +104,7 @@
     assert len(lowest.preempt(urgent(priority=Priority.NORMAL))) == 1
 
 
-def test_guests_yield_to_more_urgent_work_and_to_a_team_within_its_guarantee() -> None:
+def test_guests_are_preempted_for_more_urgent_work_and_for_a_team_within_its_guarantee() -> None:
     teams = {**TEAMS, GUEST.name: GUEST}
     cluster = Cluster(1)
     cluster.run("job-0", cluster.machines[0], priority=Priority.NORMAL, team=GUEST.name)
@@ -119,9 +121,11 @@
 def test_the_attempt_with_least_to_lose_is_preempted() -> None:
     cluster = Cluster(1)
     machine = cluster.machines[0]
-    cluster.run("job-0", machine, ran_s=50.0, tasks=1)
+    cluster.run("job-0", machine, run_time_s=50.0, tasks=1)
 
-    (saving,) = cluster.run("job-1", machine, ran_s=90.0, tasks=1, checkpoint_s=20.0, save_s=2.0)
+    (saving,) = cluster.run(
+        "job-1", machine, run_time_s=90.0, tasks=1, checkpoint_s=20.0, save_s=2.0
+    )
 
     assert cluster.preempt(urgent()) == [Victim(machine, saving)]
 
@@ -143,7 +147,7 @@
     # then runs longer than MIN_COUNTED_RUN_S.
     cluster = Cluster(1)
     machine = cluster.machines[0]
-    cluster.run("job-0", machine, ran_s=MIN_COUNTED_RUN_S - 1.0, tasks=1)
+    cluster.run("job-0", machine, run_time_s=MIN_COUNTED_RUN_S - 1.0, tasks=1)
     assert cluster.preempt(urgent(cpus=8.0)) == []
 
     (allocation,) = machine.allocations.values()
@@ -163,8 +167,8 @@
 
 
 def test_a_task_that_ended_is_not_listed_as_running_work() -> None:
-    # Preemption would consider such machines in vain. Removing an allocation that was never added
-    # must not add an entry either.
+    # Preemption would consider the machines of ended tasks in vain if these were still listed.
+    # Removing an allocation that was never added must not add an entry either.
     cluster = Cluster(1)
     machine = cluster.machines[0]
     for allocation in cluster.run("job-0", machine):
@@ -270,8 +274,8 @@
 
 
 def test_only_a_zones_share_of_a_spread_array_is_preempted_for_there() -> None:
-    # Four tasks, at most two of them in a zone. Tasks were stopped for all four in the first zone,
-    # where two of the waiting tasks could not be placed.
+    # Seen before: of four waiting tasks, at most two may be in one zone, but running tasks were
+    # stopped for all four in the first zone, where two of the four could not be placed.
     cluster = two_zones()
     victims = cluster.preempt(urgent(tasks=4, spread=True))
 
@@ -279,8 +283,9 @@
 
 
 def test_capacity_that_is_freed_in_a_full_zone_does_not_count_for_a_spread_array() -> None:
-    # The first zone is full of stopping tasks and could hold the whole array, but may hold only its
-    # share. The other task would wait if all were counted there.
+    # All tasks in zone a are stopping, and their capacity would hold both tasks of the array, but
+    # the zone may hold only one of them. If both were counted there, no task would be stopped in
+    # zone b and the other task of the array would wait.
     cluster = two_zones()
     waiting = urgent(tasks=2, spread=True)
     for machine in cluster.machines[:2]:
@@ -292,7 +297,8 @@
 
 
 def test_a_one_zone_array_preempts_in_one_zone_only() -> None:
-    # Tasks were also stopped in a second zone, where no task of the array could be placed.
+    # Seen before: tasks were also stopped in a second zone, where no task of the array could be
+    # placed.
     cluster = two_zones()
     victims = cluster.preempt(urgent(tasks=6, one_zone=True))
 
