--- a/src/crosscleat/core/capacity/machine_list.py
+++ b/src/crosscleat/core/capacity/machine_list.py
@@ -36,7 +36,7 @@
     """Says when a machine counts as quiet (`control.liveness.Liveness`)."""
 
     @property
-    def quiet_s(self) -> float:
+    def missed_heartbeat_s(self) -> float:
         """Silence in seconds after which a machine has missed a heartbeat."""
 
 
@@ -101,12 +101,12 @@
 
         A machine stays listed until it is deleted, but an answer may be older than the one before.
         """
-        quiet_s = self._liveness.quiet_s
+        missed_heartbeat_s = self._liveness.missed_heartbeat_s
         for machine in self._cluster.machines.values():
             if (
                 machine.listed_by_cloud
                 and machine.id not in listed
                 and now - machine.created_at > MIN_MISSING_AGE_S
-                and now - machine.last_heartbeat_at > quiet_s
+                and now - machine.last_heartbeat_at > missed_heartbeat_s
             ):
                 self._decommissioner.decommission(machine, "no longer listed by the cloud")
--- a/src/crosscleat/core/capacity/machine_watch.py
+++ b/src/crosscleat/core/capacity/machine_watch.py
@@ -28,7 +28,7 @@
     """Says which machines have been silent for too long (`control.liveness.Liveness`)."""
 
     @property
-    def silent_s(self) -> float:
+    def heartbeat_timeout_s(self) -> float:
         """Silence in seconds after which a machine is deleted."""
 
     def silent(self, machine: Machine, now: Seconds) -> bool:
@@ -86,14 +86,17 @@
             # It runs but has sent no heartbeat in this term: perhaps it can't reach a controller.
             return None
         if machine.type is UNKNOWN_TYPE:
-            deadline = machine.created_at + self._liveness.silent_s + RECORD_ONLY_SLACK_S
+            deadline = machine.created_at + self._liveness.heartbeat_timeout_s + RECORD_ONLY_SLACK_S
             return "in a record only, not listed, no heartbeat" if now > deadline else None
         return "did not boot in time" if now > self._boot_deadline(machine) else None
 
     def _boot_deadline(self, machine: Machine) -> float:
         max_boot_s = MAX_BOOT_FACTOR * machine.type.boot_s + MAX_BOOT_SLACK_S
         # In a new term a machine may be up and have sent no heartbeat to this leader yet.
-        return max(machine.created_at + max_boot_s, self._term.began_at + self._liveness.silent_s)
+        return max(
+            machine.created_at + max_boot_s,
+            self._term.began_at + self._liveness.heartbeat_timeout_s,
+        )
 
     def _end_expired_lease(self, machine: Machine, now: Seconds) -> None:
         lease_s = self._term.deployment.lease_s * CLOCK_DRIFT + LEASE_SLACK_S
--- a/src/crosscleat/core/control/__init__.py
+++ b/src/crosscleat/core/control/__init__.py
@@ -10,12 +10,13 @@
 - Jobs: `job_changes` applies submissions and cancellations, `writer` writes to the store,
   `write_outcomes` handles the results, and `progress` counts tasks for display.
 - Workers: `heartbeat_receiver` responds to heartbeats, `heartbeat_processing` and `task_statuses`
-  apply them, `orders` computes the orders for each worker, and `commands` sends them.
+  apply them, `orders` builds the orders for a worker, and `commands` sends them.
 - Contact: `response_check` detects workers that do not receive our responses, `liveness` detects
-  silent machines, and `worker_contact` whether any worker can reach this leader.
-- Attempts: `attempts` stops and ends them, `retries` decides when the next one may start,
-  `gang_control` replaces or stops incomplete gangs, and `evacuation` empties machines.
-- Planning: `scheduler` runs the cycles built by `cycle_factory`, and `placer` commits the
-  resulting assignments.
+  silent machines, and `worker_contact` tracks whether workers can reach this leader at all.
+- Attempts: `attempts` stops them and updates the job once they are proven to have ended, `retries`
+  decides when the next one may start, `gang_control` replaces lost members of waiting gangs and
+  stops gangs that can't continue, and `evacuation` empties machines.
+- Planning: `scheduler` runs the cycles that `cycle_factory` prepares, and `placer` turns their
+  assignments into allocations.
 - `pending_work` holds the requests and flags through which these parts notify each other.
 """
--- a/src/crosscleat/core/control/controller.py
+++ b/src/crosscleat/core/control/controller.py
@@ -59,7 +59,7 @@
         self._rng = rng
         self._outbox = Outbox()
         self._now = LONG_AGO
-        self._wall = WallTime(0.0)
+        self._wall_time = WallTime(0.0)
         self._machine_types: dict[TypeName, MachineType] = {}
         self._list_types_in_flight = False
         self._next_list_types_at = LONG_AGO
@@ -85,12 +85,13 @@
         """Whether the machine types are known, which deciding on submissions requires."""
         return bool(self._machine_types)
 
-    def step(self, received: Input, now: Seconds, wall: WallTime) -> list[Effect]:
+    def step(self, received: Input, now: Seconds, wall_time: WallTime) -> list[Effect]:
         """Process an input and return the effects to carry out, in order.
 
-        `now` is monotonic time; `wall` is wall-clock time, which is stored and shown to users.
+        `now` is on the monotonic clock, `wall_time` on the wall clock, whose times are stored and
+        shown to users.
         """
-        self._now, self._wall = now, wall
+        self._now, self._wall_time = now, wall_time
         if self.leader is not None:
             self.leader.term.advance(now)
         self._handlers[type(received)](received)
@@ -137,7 +138,7 @@
         self.user_requests.query(query.request, query.ref)
 
     def _submit_job(self, submission: SubmitJob) -> None:
-        self.user_requests.submit(submission.request, submission.spec, self._wall)
+        self.user_requests.submit(submission.request, submission.spec, self._wall_time)
 
     def _reject_job(self, rejection: RejectJob) -> None:
         self.user_requests.refuse(rejection.request, rejection.ref, rejection.status)
@@ -234,7 +235,7 @@
             self._rng,
             self._machine_types,
             self._now,
-            self._wall,
+            self._wall_time,
             self.upgrade.complete,
         )
         leader.term.jobs_read(stored.read_at)
--- a/src/crosscleat/core/control/evacuation.py
+++ b/src/crosscleat/core/control/evacuation.py
@@ -11,11 +11,11 @@
 from .attempts import Attempts
 from .gang_control import GangControl
 
-IN_TIME_SHARE = 0.7
-"""Share of the notice period within which an attempt must be estimated to end to keep running."""
+MAX_NOTICE_SHARE = 0.7
+"""An attempt keeps running if it is estimated to end within this share of the notice period."""
 
 SAVE_SHARE = 0.5
-"""Share of the notice period below which saving must stay for an attempt to save its progress."""
+"""An attempt saves its progress if that takes less than this share of the notice period."""
 
 
 class Evacuation:
@@ -62,7 +62,7 @@
             if spec.shape is Shape.GANG:
                 continue
             started_at = allocation.running_since if allocation.running_since is not None else now
-            if self._run_times.estimate(spec) - (now - started_at) < IN_TIME_SHARE * notice_s:
+            if self._run_times.estimate(spec) - (now - started_at) < MAX_NOTICE_SHARE * notice_s:
                 continue
             can_save = spec.checkpoint_s > 0 and spec.save_s < SAVE_SHARE * notice_s
             self._attempts.stop(machine, allocation, spec.save_s if can_save else 0.0)
--- a/src/crosscleat/core/control/heartbeat_processing.py
+++ b/src/crosscleat/core/control/heartbeat_processing.py
@@ -19,11 +19,11 @@
 from .task_statuses import TaskStatuses
 from .worker_contact import WorkerContact
 
-MAX_UNKNOWN_WORDS = 100
-"""Maximum number of distinct unknown states and causes that are remembered and logged."""
+MAX_UNKNOWN_STATES_AND_CAUSES = 100
+"""Number of distinct unknown states and causes after which no more are logged and remembered."""
 
 HIGHER_TOKEN_SEEN = "a worker has seen a higher fencing token"
-"""Reason for resigning when a worker's heartbeat shows that there is a newer leader."""
+"""Reason for resigning of a leader that has been replaced without knowing it."""
 
 
 class HeartbeatProcessing:
@@ -50,7 +50,7 @@
         self._attempts = attempts
         self._evacuation = evacuation
         self._pending = pending
-        self._unknown_words: set[str] = set()
+        self._unknown_states_and_causes: set[str] = set()
         """Unknown states and causes that have already been logged."""
 
     # Replies to direct commands
@@ -95,13 +95,13 @@
 
         `is_direct_reply`: the heartbeat is a reply to a direct command.
         """
-        self._log_unknown_words(heartbeat)
+        self._log_unknown_states_and_causes(heartbeat)
         self._update_machine(machine, heartbeat, is_direct_reply)
         agent_epoch = heartbeat.heartbeat_id.agent_epoch
         if heartbeat.token >= self._term.initial_token:
             # A heartbeat without our token may be a copy from before the machine lost power and
-            # its epochs restarted. Attempts placed since then have an earlier epoch, but still
-            # run.
+            # its epochs restarted. Attempts placed since that restart have an earlier epoch, but
+            # still run.
             for allocation in self._cluster.allocations_before_epoch(machine, agent_epoch):
                 self._attempts.ended(machine, allocation)
         listed_tasks = {(task.task, task.attempt): task for task in heartbeat.tasks}
@@ -153,11 +153,11 @@
             for allocation in machine.allocations.values()
         )
 
-    def _log_unknown_words(self, heartbeat: Heartbeat) -> None:
-        """Log each unknown state or cause once; newer workers may use more of them."""
-        unknown = unknown_states_and_causes(heartbeat) - self._unknown_words
-        if unknown and len(self._unknown_words) < MAX_UNKNOWN_WORDS:
-            self._unknown_words |= unknown
-            words = ", ".join(repr(word[:40]) for word in sorted(unknown)[:5])
-            log = f"machine {heartbeat.machine} reports unknown task states or causes: {words}"
+    def _log_unknown_states_and_causes(self, heartbeat: Heartbeat) -> None:
+        """Log each unknown state or cause once; newer workers may send further ones."""
+        unknown = unknown_states_and_causes(heartbeat) - self._unknown_states_and_causes
+        if unknown and len(self._unknown_states_and_causes) < MAX_UNKNOWN_STATES_AND_CAUSES:
+            self._unknown_states_and_causes |= unknown
+            examples = ", ".join(repr(value[:40]) for value in sorted(unknown)[:5])
+            log = f"machine {heartbeat.machine} reports unknown task states or causes: {examples}"
             self._term.outbox.log("info", log)
--- a/src/crosscleat/core/control/leader.py
+++ b/src/crosscleat/core/control/leader.py
@@ -2,8 +2,9 @@
 
 Heartbeats go to `heartbeat_receiver`, job changes to `job_changes`. `tick` runs the periodic work.
 `finish_step` runs at the end of every controller step: it schedules, writes changes to the store
-and sends direct commands. `assembly.build_leader` builds a leader from its parts, and
-`takeover.load_records` loads the records of earlier leaders into it.
+and sends direct commands, which start only attempts that have been recorded in the store.
+`assembly.build_leader` builds a leader from its parts, and `takeover.load_records` loads the
+records of earlier leaders into it.
 """
 
 from __future__ import annotations
@@ -126,7 +127,7 @@
         self.deletions.delete_recorded(now)
 
     def _begin_full_cycle(self, now: Seconds) -> None:
-        """Start a scheduling cycle over all waiting work, including the shard owners."""
+        """Have all waiting work scheduled, by this leader and by the shard owners."""
         self._next_full_cycle_at = Seconds(now + self.term.deployment.tuning.round_s)
         self.pending.cycle_wanted = True
         self.writer.remove(self.deletions.forget_old(now, self.writer.writing))
--- a/src/crosscleat/core/control/liveness.py
+++ b/src/crosscleat/core/control/liveness.py
@@ -4,7 +4,8 @@
 machines to delete, and when to let another controller lead. Ending an attempt needs proof
 (`attempts`).
 
-A quiet machine has missed a heartbeat (`quiet_s`); a silent one may be deleted (`silent_s`).
+A quiet machine has missed a heartbeat (`missed_heartbeat_s`); a silent one may be deleted
+(`heartbeat_timeout_s`).
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 """How long machines deleted for silence are still counted among the silent ones."""
 
 HEARTBEAT_REQUEST_SHARE = 0.4
-"""Share of the silence at which contact counts as lost, after which heartbeats are requested."""
+"""Heartbeats are requested after this share of the silence at which contact counts as lost."""
 
 MAX_PROBES_PER_CHECK = 6
 """Maximum number of machines asked for a heartbeat in one check."""
@@ -60,14 +61,14 @@
         self._election = election
         self._contact = contact
         self._responses = responses
-        self.silent_s = deployment.heartbeat_timeout_s
+        self.heartbeat_timeout_s = deployment.heartbeat_timeout_s
         """Time without a heartbeat after which a machine is deleted."""
-        self.quiet_s = 1.5 * deployment.heartbeat_interval_s + 1.0
+        self.missed_heartbeat_s = 1.5 * deployment.heartbeat_interval_s + 1.0
         """Time without a heartbeat after which a machine has missed one."""
         self._silent_deletions: list[tuple[Seconds, Zone]] = []
         """Time and zone of each recent deletion of a machine for silence."""
         self._quiet_zones: set[Zone] = set()
-        """Zones with so many quiet machines that the network or the whole zone must have failed."""
+        """Zones with so many quiet machines that the network, or more, must be at fault."""
 
     def record_silence_deletion(self, machine: Machine, now: Seconds) -> None:
         """Record that the machine was deleted for silence."""
@@ -87,7 +88,7 @@
         If many machines of its zone are quiet, a much longer silence is required.
         """
         silence_s = now - machine.last_heartbeat_at
-        return silence_s > self.silent_s and (
+        return silence_s > self.heartbeat_timeout_s and (
             machine.zone not in self._quiet_zones or silence_s > 2.0 * self._deployment.cancel_s
         )
 
@@ -125,7 +126,7 @@
     def _shortest_silence_s(self, reporting: list[Machine], now: Seconds) -> float:
         """How long all machines have been silent; 0 if there are fewer than two.
 
-        The silence of a single machine says nothing about the contact with the others.
+        If there is only one machine, its silence does not show whether the contact is at fault.
         """
         if len(reporting) <= 1:
             return 0.0
@@ -149,7 +150,9 @@
         total_by_zone = Counter(machine.zone for machine in booted) + deleted_by_zone
         quiet_by_zone = (
             Counter(
-                machine.zone for machine in booted if now - machine.last_heartbeat_at > self.quiet_s
+                machine.zone
+                for machine in booted
+                if now - machine.last_heartbeat_at > self.missed_heartbeat_s
             )
             + deleted_by_zone
         )
@@ -171,7 +174,7 @@
                 probed < MAX_PROBES_PER_CHECK
                 and machine.booted
                 and not machine.decommissioning
-                and now - machine.last_heartbeat_at > self.quiet_s
+                and now - machine.last_heartbeat_at > self.missed_heartbeat_s
                 and machine.address is not None
                 and now - machine.probed_at >= MIN_PROBE_INTERVAL_S
             ):
--- a/src/crosscleat/core/control/pending_work.py
+++ b/src/crosscleat/core/control/pending_work.py
@@ -26,7 +26,7 @@
         Task progress is written at its own interval.
         """
         self.ending_jobs: dict[JobRef, Job] = {}
-        """Jobs whose tasks have all ended, until a transaction has recorded the end of the job."""
+        """Jobs that are over, until a transaction has recorded their end."""
         self.token_rotation_wanted = False
         """Whether to raise the fencing token.
 
@@ -48,7 +48,7 @@
         self.has_unwritten_changes = True
 
     def record_end_if_over(self, job: Job) -> None:
-        """Have the end of the job written, if the job is over."""
+        """Have the end of the job written if nothing more can happen to it."""
         if job.is_over():
             self.ending_jobs[job.ref] = job
 
--- a/src/crosscleat/core/control/response_check.py
+++ b/src/crosscleat/core/control/response_check.py
@@ -15,9 +15,9 @@
 from ..state.machine import Machine
 
 ANSWERED_LEASE_FRACTION = 0.6
-"""Fraction of a worker lease for which the heartbeats of an agent epoch must have been answered
-before its end shows that the worker did not receive the responses. It is well below 1, as a
-partition may have dropped the last responses."""
+"""If an agent epoch ends although its heartbeats were answered for more than this fraction of a
+worker lease, the worker did not receive the responses. The fraction is well below 1, as a partition
+may have dropped the last responses."""
 
 UNRESPONSIVE_S = 2.0
 """Time without executing a start order after which a worker counts as unresponsive."""
@@ -97,7 +97,7 @@
         return has_common_cause(failing, len(self._cluster.machines))
 
     def count_unresponsive(self, machines: list[Machine], now: Seconds) -> None:
-        """Update the number of unresponsive machines."""
+        """Update the number of unresponsive machines and the recently lost leases."""
         self._lost_leases = [
             lost_at for lost_at in self._lost_leases if now - lost_at < LOST_LEASE_WINDOW_S
         ]
--- a/src/crosscleat/core/control/worker_contact.py
+++ b/src/crosscleat/core/control/worker_contact.py
@@ -18,8 +18,8 @@
 """Number of missing heartbeats after which contact counts as lost, within those bounds."""
 
 MIN_TICKS = 10
-"""Minimum length of a silence in ticks of 0.1 s, as a suspended process receives no heartbeats and
-the clock alone would count that time as silence."""
+"""Number of ticks, of 0.1 s each, that a silence must also have lasted. While this process was
+suspended it could not receive heartbeats, but the clock alone would count that time as silence."""
 
 CUT_OFF_SHARE = 0.1
 CUT_OFF_MIN = 3
@@ -27,7 +27,8 @@
 considers itself cut off from the workers."""
 
 CUT_OFF_S = 2.0
-"""Time beyond the heartbeat interval without any direct contact, which is required as well."""
+"""The leader considers itself cut off only if it has also had no direct contact with any worker
+until this long after a heartbeat was due."""
 
 
 class WorkerContact:
--- a/src/crosscleat/core/election/election.py
+++ b/src/crosscleat/core/election/election.py
@@ -1,7 +1,8 @@
 """Leader election: one key in the store under a lease; the key's version is the fencing token.
 
 Taking over the key, rotating the token and every write of a leader are conditional on the key's
-version, so a controller that has lost the key can no longer change the store.
+version, so a controller that has lost the key can no longer change the store, even if it still
+considers itself the leader.
 
 A follower watches the key. When the key is gone, the follower requests a lease and writes the key
 under it. A leader renews its lease until it resigns or the lease has expired.
@@ -38,7 +39,7 @@
 from ..state.keys import LEADER
 
 LEADER_LEASE_TTL_S = 3.0
-"""Time after the last renewal of its lease at which the leader key is removed."""
+"""The store removes the leader key this long after the last renewal of its lease."""
 
 RENEWAL_INTERVAL_S = 0.8
 """Delay from a successful renewal to the next."""
@@ -282,10 +283,10 @@
             RENEWAL_INTERVAL_S if renewed else RENEWAL_RETRY_S, lambda: self._renew(generation)
         )
 
-    def rotate_token(self, completed: Callable[[], None]) -> bool:
+    def rotate_token(self, on_completed: Callable[[], None]) -> bool:
         """Rewrite the leader key to obtain a higher fencing token.
 
-        Returns whether the transaction was sent; if so, `completed` is called after its outcome
+        Returns whether the transaction was sent; if so, `on_completed` is called after its outcome
         has been processed. No other write of this leader may be in flight meanwhile.
         """
         if self.token is None or self._lease is None:
@@ -294,7 +295,7 @@
 
         def rotated(result: CommitOutcome) -> None:
             self._token_rotated(generation, result)
-            completed()
+            on_completed()
 
         self._outbox.add(
             Commit(
--- a/src/crosscleat/core/election/term.py
+++ b/src/crosscleat/core/election/term.py
@@ -11,7 +11,8 @@
 """Part of `cancel_s` that is reserved for message delays and timers."""
 
 CLOCK_DRIFT = 1.001
-"""Clock drift allowed: twice the 0.05% by which two monotonic clocks may differ, plus a margin."""
+"""Factor to allow for clock drift: twice the 0.05% by which two monotonic clocks may differ, plus
+a margin."""
 
 MAX_START_CONTACT_AGE_S = 3.0
 """Maximum age of the last contact with the store at which tasks are started or machines rented."""
@@ -34,7 +35,7 @@
         self.cancellations_known_until = now
         """All cancellations up to this time are known.
 
-        It is when the watch that last answered was opened, or when the live jobs were requested.
+        That is when the watch that last answered was opened, or when the live jobs were requested.
         """
         self.retired = False
         """Whether the term is over, so that late replies must be ignored."""
@@ -60,7 +61,7 @@
         return max(0.0, self.deployment.cancel_s - self.deployment.lease_s - LEASE_MARGIN_S)
 
     def _last_contact(self) -> Seconds:
-        """The latest time at which we were leader and knew all cancellations, per the store."""
+        """When the store last confirmed that we lead and had sent us all cancellations."""
         return min(self.election.last_confirmed_at, self.cancellations_known_until)
 
     def renewal_deadline(self) -> Seconds:
--- a/src/crosscleat/core/election/upgrade.py
+++ b/src/crosscleat/core/election/upgrade.py
@@ -40,13 +40,13 @@
         member: Member,
         members: tuple[Member, ...],
         outbox: Outbox,
-        completed: Callable[[], None],
+        on_completed: Callable[[], None],
     ) -> None:
-        """`completed` is called once, when all members are known to run this version."""
+        """`on_completed` is called once, when all members are known to run this version."""
         self._key = FORMAT + member
         self._members = members
         self._outbox = outbox
-        self._completed = completed
+        self._on_completed = on_completed
         self.complete = False
         """Whether all controllers run this version."""
 
@@ -76,4 +76,4 @@
         members = {item.key.removeprefix(FORMAT) for item in items}
         if not self.complete and members.issuperset(self._members):
             self.complete = True
-            self._completed()
+            self._on_completed()
--- a/tests/test_isolated.py
+++ b/tests/test_isolated.py
@@ -1,7 +1,8 @@
 """A leader that reaches its workers, but neither the store nor the other controllers.
 
-It keeps renewing worker leases while another leader is elected. If either of them assumes too much,
-a cancelled task keeps running, or a task runs twice. Resigning too early would end running tasks.
+It keeps renewing worker leases for a while, and another leader is elected. If it renews for too
+long, a cancelled task keeps running; if its successor places tasks again too early, they run twice.
+If it stops renewing too early, a short outage ends running tasks.
 """
 
 from __future__ import annotations
--- a/tests/test_leader_without_workers.py
+++ b/tests/test_leader_without_workers.py
@@ -1,8 +1,8 @@
 """A leader resigns if it cannot reach its workers, or they cannot reach it.
 
 Workers stop their tasks when their leases expire, so a leader that is cut off from them, but not
-from the store, would lose all work. It must resign in time, but not for a single silent worker,
-after a suspension of its own process, or while workers switch to it.
+from the store, would lose all work. It must resign in time, but not while a worker still reaches
+it, after a suspension of its own process, or while workers switch to it.
 """
 
 from __future__ import annotations
--- a/tests/test_outage_after_partition.py
+++ b/tests/test_outage_after_partition.py
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("until_out_s", [0.5, 2.0])
-def test_tasks_that_are_not_cancelled_run_until_the_renewal_deadline_allows(
+def test_tasks_that_are_not_cancelled_run_until_the_renewal_deadline(
     until_out_s: float,
 ) -> None:
     world = at_work(estimate_s=200.0, for_s=20.0)
--- a/tests/test_upgrade_coordination.py
+++ b/tests/test_upgrade_coordination.py
@@ -1,7 +1,7 @@
 """How a controller learns that all controllers run the new version.
 
-Controllers of the previous version do not support gangs. If an upgrade counts as complete too
-early, also after restarts or unanswered calls, such a controller would have to handle a gang.
+Controllers of the previous version do not support gangs. If an upgrade counted as complete too
+early, for example after a restart or an unanswered call, one of them would have to handle a gang.
 """
 
 from __future__ import annotations
