--- a/src/crosscleat/core/capacity/capacity_targets.py
+++ b/src/crosscleat/core/capacity/capacity_targets.py
@@ -43,7 +43,10 @@
         """Demand of jobs that may not use spot machines."""
 
     def record_arrival(self, job: Job, now: Seconds) -> None:
-        """Record the size of an arrived job that is urgent or may not use spot machines."""
+        """Record the size of an arrived job for which capacity is kept ready.
+
+        These are urgent jobs, and jobs that may not use spot machines.
+        """
         if job.spec.priority >= Priority.HIGH:
             self.demand.record_job(job, now)
         if not job.spec.spot:
@@ -56,7 +59,7 @@
         self.on_demand_only.sample(use.on_demand_only_cpus, now)
 
     def warm_cpus(self) -> float:
-        """Total capacity to keep: the mean demand, plus its variation or a large urgent job.
+        """Total capacity to keep: the mean demand plus `spare_cpus`.
 
         The current demand is not used: by the time that a machine rented for a burst is up, most
         of the burst has passed, and the machine costs at least a minute.
@@ -64,7 +67,7 @@
         return self._warm(self.demand, self.demand.mean())
 
     def spare_cpus(self) -> float:
-        """The part of `warm_cpus` that exceeds the mean demand."""
+        """Capacity in addition to the mean demand, for its variation or a large urgent job."""
         return self._spare(self.demand, self.demand.mean())
 
     def on_demand_cpus(self, now: Seconds) -> float:
--- a/src/crosscleat/core/capacity/deletions.py
+++ b/src/crosscleat/core/capacity/deletions.py
@@ -16,7 +16,8 @@
 from .machines import Machines
 
 DECOMMISSION_RECORD_S = 120.0
-"""Time in seconds that the store names a deleted machine, so that a new leader knows of it."""
+"""Time in seconds that the store still names a deleted machine, so that a new leader knows of the
+decision to delete it."""
 
 MAX_PER_DELETION = 100
 """Maximum number of machines in one deletion call."""
@@ -25,7 +26,7 @@
 """Seconds after which a deletion without an answer is sent again."""
 
 RETRY_FAILED_S = 1.0
-"""The same if the cloud refused the deletion or could not be reached."""
+"""Seconds after which a deletion is sent again if the cloud refused it or could not be reached."""
 
 
 class SilenceDeletions(Protocol):
--- a/src/crosscleat/core/capacity/demand.py
+++ b/src/crosscleat/core/capacity/demand.py
@@ -15,7 +15,7 @@
 """Maximum age in seconds of a recent sample."""
 
 LARGE_JOB_QUANTILE = 0.8
-"""Quantile of the sizes of arrived jobs that defines a large job."""
+"""Quantile of the sizes of arrived jobs that defines a large job, for which capacity is kept."""
 
 
 class Demand:
@@ -33,7 +33,7 @@
                 records.popleft()
 
     def record_job(self, job: Job, now: Seconds) -> None:
-        """Record the size of an arrived job."""
+        """Record the size of an arrived job, which is the CPUs of all its tasks."""
         self._job_sizes.append((now, job.spec.cpus * job.spec.tasks))
 
     def mean(self) -> float:
@@ -61,6 +61,6 @@
         return math.sqrt(sum((cpus - mean) ** 2 for _, cpus in self._samples) / len(self._samples))
 
     def large_job_cpus(self) -> float:
-        """CPUs of a large job: about four fifths of the arrived jobs are smaller."""
+        """CPUs of a large job: about four fifths of the arrived jobs request no more."""
         sizes = sorted(cpus for _, cpus in self._job_sizes)
         return sizes[int(len(sizes) * LARGE_JOB_QUANTILE)] if sizes else 0.0
--- a/src/crosscleat/core/capacity/fleet.py
+++ b/src/crosscleat/core/capacity/fleet.py
@@ -25,7 +25,8 @@
 from .waiting_reasons import INDEFINITE_REASONS, WaitingReason, WaitingReport
 
 MAX_PRICED_JOBS = 100
-"""Maximum number of waiting jobs, most urgent first, whose cheapest pools one rental compares."""
+"""Maximum number of waiting jobs, the most urgent ones, for which a rental looks up the cheapest
+pool."""
 
 OVERLOAD_SHARE = 0.5
 """Unplaced work above this share of the capacity is more than a burst that passes by itself."""
@@ -133,9 +134,9 @@
     ) -> bool:
         """Whether the job has waited for too long, or no rented machine can ever run its tasks.
 
-        It is true of every gang: a gang needs capacity for all its tasks at the same time, which
-        seldom becomes free by itself. `kinds` has one machine of each type, zone and market (spot
-        or on-demand).
+        Always true for a gang: it needs capacity for all its tasks at the same time, which seldom
+        becomes free by itself. `kinds` has one machine of each type, zone and market (spot or
+        on-demand).
         """
         spec = job.spec
         if job.is_gang:
@@ -166,7 +167,10 @@
         now: Seconds,
         report: WaitingReport,
     ) -> ScaleOutRequest | None:
-        """A rental from the most urgent job's cheapest pool, for all jobs whose cheapest it is."""
+        """A rental from the cheapest pool of the most urgent job.
+
+        It has machines for the tasks of all jobs with the same cheapest pool.
+        """
         pool: PoolKey | None = None
         machine_count = 0.0
         overdue = False
@@ -194,7 +198,8 @@
     def _for_warm_capacity(self, capacity: float, now: Seconds) -> ScaleOutRequest | None:
         """A rental that keeps capacity ready for the usual demand, on inexpensive machines.
 
-        If there is none, expensive machines are rented, but only for the sustained demand.
+        If no inexpensive machine can be rented, expensive ones are, but only for the sustained
+        demand.
         """
         request = self.catalog.cheapest_capacity(
             self.targets.warm_cpus() - capacity,
@@ -208,7 +213,10 @@
         )
 
     def _for_on_demand_reserve(self, present_cpus: float, now: Seconds) -> ScaleOutRequest | None:
-        """A rental of on-demand machines for the usual demand of work that needs them."""
+        """A rental of on-demand machines for the usual demand of work that needs them.
+
+        `present_cpus` are the CPUs of the on-demand machines that are rented now.
+        """
         lacking = self.targets.on_demand_cpus(now) - present_cpus
         return self.catalog.cheapest_capacity(lacking, now, lambda _, key: not key.spot)
 
@@ -233,7 +241,10 @@
                 machine
                 for machine in usable
                 if machine.id not in self._held_for_gangs
-                and (machine.idle_since is not None or self._only_backfill(machine, teams, now))
+                and (
+                    machine.idle_since is not None
+                    or self._is_returnable_while_busy(machine, teams, now)
+                )
             ),
             key=lambda machine: -price_per_cpu(machine.type, machine.spot),
         )
@@ -262,8 +273,14 @@
         min_idle_s = EXPENSIVE_IDLE_S if self._is_expensive(machine) else self._tuning.idle_return_s
         return machine.idle_since is None or now - machine.idle_since >= min_idle_s
 
-    def _only_backfill(self, machine: Machine, teams: dict[Team, TeamLimits], now: Seconds) -> bool:
-        """Whether it is expensive and runs only backfill whose start counts for its user."""
+    def _is_returnable_while_busy(
+        self, machine: Machine, teams: dict[Team, TeamLimits], now: Seconds
+    ) -> bool:
+        """Whether the machine is expensive and runs only backfill that may be stopped.
+
+        Each task must have run for longer than `MIN_COUNTED_RUN_S`, so that its start counts for
+        its user.
+        """
         return (
             bool(machine.allocations)
             and self._is_expensive(machine)
--- a/src/crosscleat/core/capacity/interruptions.py
+++ b/src/crosscleat/core/capacity/interruptions.py
@@ -57,7 +57,9 @@
         return self._interruptions / self._uptime_s
 
     def at_risk(self, job: Job, scorer: Scorer, now: Seconds) -> bool:
-        """Whether a loss is likely to make the job late, if all its tasks ran on spot machines.
+        """Whether a loss makes the job late with a probability of at least `MIN_RISK`.
+
+        It is assumed that all tasks of the job run on spot machines.
 
         The job is late if it misses the next completion target that it can still meet. It completes
         with its last task, so the loss of any task counts.
--- a/src/crosscleat/core/capacity/machine_list.py
+++ b/src/crosscleat/core/capacity/machine_list.py
@@ -1,4 +1,4 @@
-"""Reads the cloud's machine list, which shows machines without heartbeats and lost ones."""
+"""Reads the cloud's machine list to find machines that sent no heartbeat, and lost machines."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
 """Seconds between two reads of the list."""
 
 SILENCE_INTERVAL_S = 3.0
-"""The same while machines are silent: the list may soon show that they have ended."""
+"""Seconds between two reads if machines fell silent recently: the list may soon show that they have
+ended."""
 
 MIN_MISSING_AGE_S = 60.0
 """Minimum age in seconds of a machine that counts as missing from the list: a younger one may only
@@ -63,9 +64,9 @@
         """When to read the list next."""
         self._last_read_at = term.now
 
-    def read_if_due(self, now: Seconds, machines_silent: bool) -> None:
-        """Request the list if it is due; `machines_silent` shortens the interval."""
-        if machines_silent:
+    def read_if_due(self, now: Seconds, recent_silence: bool) -> None:
+        """Request the list if it is due, sooner if machines fell silent recently."""
+        if recent_silence:
             self._next_read_at = min(
                 self._next_read_at, Seconds(self._last_read_at + SILENCE_INTERVAL_S)
             )
--- a/src/crosscleat/core/capacity/pool_catalog.py
+++ b/src/crosscleat/core/capacity/pool_catalog.py
@@ -19,7 +19,8 @@
 """A CPU is expensive if it costs more than this times the cheapest one, on-demand or spot."""
 
 OVERDUE_WAIT_S = 90.0
-"""Expensive machines are rented for tasks that wait for longer, even if these complete late."""
+"""Waiting time in seconds after which expensive machines are rented for a job's tasks even if these
+will complete late."""
 
 MAX_SIZE_RATIO = 2.0
 """Maximum CPUs of a machine for general capacity, as a multiple of the lacking CPUs."""
@@ -169,7 +170,10 @@
     def cheapest_capacity(
         self, cpus: float, now: Seconds, suits: Callable[[MachineType, PoolKey], bool]
     ) -> ScaleOutRequest | None:
-        """A rental for the lacking `cpus` from the cheapest open pool that `suits` accepts."""
+        """A rental from the cheapest open pool that `suits` accepts.
+
+        It has as many machines as the lacking `cpus` fill, and at least one.
+        """
         options = [
             (price_per_cpu(machine_type, key.spot), machine_type.cpus, key)
             for machine_type in self.types.values()
--- a/src/crosscleat/core/capacity/pools.py
+++ b/src/crosscleat/core/capacity/pools.py
@@ -46,19 +46,22 @@
     backoff_s: float = FIRST_BACKOFF_S
 
     def is_open(self, now: Seconds) -> bool:
-        """Whether machines may be requested from it now."""
+        """Whether machines may be requested from the pool now."""
         return self.closed_until <= now
 
     @property
     def refuses_repeatedly(self) -> bool:
-        """Whether it has refused several times in a row."""
+        """Whether the pool has refused several times in a row."""
         return self.backoff_s > REPEATED_REFUSAL_BACKOFF_S
 
     def record_refusal(self, now: Seconds) -> None:
-        """Close it for a while, as it had too little capacity; each refusal extends the backoff."""
+        """Close the pool for a while, as a rental from it was not filled.
+
+        Each further refusal in a row closes it for longer, up to `MAX_BACKOFF_S`.
+        """
         self.closed_until = Seconds(now + self.backoff_s)
         self.backoff_s = min(MAX_BACKOFF_S, self.backoff_s * BACKOFF_FACTOR)
 
     def record_success(self) -> None:
-        """Reset the backoff, as it had all machines that were requested."""
+        """Reset the backoff, as the pool had all machines that were requested."""
         self.backoff_s = FIRST_BACKOFF_S
--- a/src/crosscleat/core/capacity/scaling.py
+++ b/src/crosscleat/core/capacity/scaling.py
@@ -23,10 +23,10 @@
 from .pools import ScaleOutRequest
 from .waiting_reasons import WaitingReport
 
-ADJUST_S = 1.0
-"""Seconds between two scaling decisions; the answer to a rental allows one at once."""
+ADJUST_INTERVAL_S = 1.0
+"""Seconds between two scaling decisions; a rental that returned machines allows one at once."""
 
-REPORT_S = 30.0
+REPORT_INTERVAL_S = 30.0
 """Seconds between two log reports of why nothing is rented for waiting jobs."""
 
 MAX_RENTAL_ATTEMPTS = 4
@@ -40,10 +40,10 @@
 
 
 class SurplusMachines(Protocol):
-    """Drains machines that are to be returned (`control.evacuation.Evacuation`)."""
+    """Stops the tasks on machines that are to be returned (`control.evacuation.Evacuation`)."""
 
     def release_surplus(self, machine: Machine) -> None:
-        """Stop all attempts on the machine, which is returned once it is empty."""
+        """Stop all attempts on the machine, which is returned once it has none left."""
 
 
 class Autoscaler:
@@ -91,7 +91,7 @@
         if now < self._next_adjust_at or not self._fleet.types or not self._term.may_start(now):
             return
         self._update_risks(now)
-        self._next_adjust_at = Seconds(now + ADJUST_S)
+        self._next_adjust_at = Seconds(now + ADJUST_INTERVAL_S)
         machines = list(self._cluster.machines.values())
         self._scale_out(machines, now)
         self._scale_in(machines, now)
@@ -112,7 +112,7 @@
         waiting_cost = self._waiting_cost(jobs)
         if request.overdue or budget.admits(rate_per_s, added_per_s, waiting_cost, now):
             self.rent(request)
-        elif now >= self._budget_logged_at + REPORT_S:
+        elif now >= self._budget_logged_at + REPORT_INTERVAL_S:
             self._budget_logged_at = now
             pool = request.pool
             self._log(f"over budget, not rented: {request.count} of {pool.type} in {pool.zone}")
@@ -121,7 +121,7 @@
         """Log why jobs that have waited for long have no machine rented for them."""
         if now < self._next_report_at:
             return
-        self._next_report_at = Seconds(now + REPORT_S)
+        self._next_report_at = Seconds(now + REPORT_INTERVAL_S)
         for waiting in report.oldest():
             self._log(str(waiting))
 
@@ -141,7 +141,7 @@
         spot_machines = sum(
             1 for m in self._cluster.machines.values() if m.has_sent_heartbeat and m.spot
         )
-        elapsed_s = min(ADJUST_S, now - self._risks_updated_at)
+        elapsed_s = min(ADJUST_INTERVAL_S, now - self._risks_updated_at)
         self._interruptions.record_uptime(elapsed_s, spot_machines)
         self._risks_updated_at = now
         for job in self._jobs.values():
@@ -171,9 +171,9 @@
     def _machines_discovered(self, now: Seconds) -> bool:
         """Whether the rented machines have had time to report to a new leader.
 
-        A leader that rented before would rent the same capacity a second time. If no record existed
-        when the term began, no work has started and hardly any machine is rented, so it need not
-        wait.
+        A leader that rented earlier would rent the same machines a second time. If no record
+        existed when the term began, no work has started and hardly any machine is rented, so it
+        need not wait.
         """
         interval_s = self._term.deployment.heartbeat_interval_s
         wait_s = min(MAX_DISCOVERY_S, interval_s * DISCOVERY_HEARTBEATS)
@@ -190,7 +190,11 @@
         return self._budget
 
     def _allowance(self) -> float:
-        """A period's allowance, from the on-demand price of the CPUs guaranteed to all teams."""
+        """A period's allowance.
+
+        It is `budget_factor` times the cost of the CPUs guaranteed to all teams, on the cheapest
+        on-demand machines.
+        """
         per_cpu = min(
             (t.price / t.cpus for t in self._fleet.types.values() if t.cpus > 0), default=0.0
         )
--- a/src/crosscleat/core/capacity/unplaced_work.py
+++ b/src/crosscleat/core/capacity/unplaced_work.py
@@ -1,7 +1,7 @@
 """Finds the waiting tasks that the free capacity of the rented machines can't hold.
 
-This is an estimate for scaling out and places nothing: tasks are counted into free capacity, the
-most urgent first. Scheduling cycles place tasks by their own rules.
+This is an estimate for scaling out and places nothing: the waiting tasks are planned in the free
+capacity, the most urgent first. Scheduling cycles place tasks by their own rules.
 """
 
 from __future__ import annotations
@@ -40,14 +40,14 @@
     requested_cpus: float
     """CPUs in use and CPUs of all waiting work, without backfill."""
     zones: ZoneLimits
-    """What the jobs' zone constraints leave, besides tasks placed or counted into free capacity."""
+    """The jobs' zone limits, with the tasks placed and those planned in free capacity counted."""
     unplaced: list[UnplacedTasks] = field(default_factory=list)
     """Sorted by priority, then by age, the most urgent and oldest jobs first."""
     gang_machines: dict[JobRef, list[MachineId]] = field(default_factory=dict)
-    """The machines into whose free capacity tasks of each gang were counted."""
+    """The machines in whose free capacity tasks of each gang are planned."""
 
     def machines_of_gangs(self) -> frozenset[MachineId]:
-        """All machines into whose free capacity tasks of waiting gangs were counted."""
+        """All machines in whose free capacity tasks of waiting gangs are planned."""
         return frozenset(itertools.chain.from_iterable(self.gang_machines.values()))
 
     def lacking_cpus(self) -> float:
@@ -66,7 +66,7 @@
     use: CapacityUse,
     report: WaitingReport,
 ) -> WaitingWork:
-    """Count the waiting tasks into the free capacity of the machines."""
+    """Plan the waiting tasks in the free capacity of the machines and collect those without any."""
     used_cpus = sum(use.cpus_by_team.values()) - use.backfill_cpus
     work = WaitingWork(used_cpus, ZoneLimits(use.job_zones))
     waiting = sorted(
@@ -113,7 +113,7 @@
 
 
 class _RemainingCapacity:
-    """Free capacity that no waiting task has been counted into yet.
+    """Free capacity in which no waiting task is planned yet.
 
     Most machines are full and are left out: otherwise each job would look at all of them.
     """
@@ -127,7 +127,7 @@
         ]
 
     def take(self, job: Job, max_count: int) -> int:
-        """Count up to `max_count` of the job's tasks into free capacity; return how many fit."""
+        """Plan up to `max_count` of the job's tasks in the free capacity; return how many fit."""
         required_zone = self._zone_for(job, max_count) if job.spec.one_zone else None
         if max_count <= 0 or (job.spec.one_zone and required_zone is None):
             return 0
@@ -170,7 +170,7 @@
 
 
 def _may_use(job: Job, free: FreeCapacity) -> bool:
-    """Whether a task of the job may be there; `take_up_to` checks GPUs, which are left out here."""
+    """Whether a task of the job may use the capacity; GPUs are only checked by `take_up_to`."""
     spec = job.spec
     return (
         spec.cpus <= free.cpus + ROUNDING_TOLERANCE
--- a/tests/scale_out.py
+++ b/tests/scale_out.py
@@ -56,19 +56,19 @@
         machine.idle_since = None
         return allocation
 
-    def adjust(self, after_s: float = 1.5) -> list[Rent]:
-        """Let `after_s` seconds pass, adjust the fleet, and return the requested rentals."""
+    def request_rentals(self, after_s: float = 1.5) -> list[Rent]:
+        """Let `after_s` seconds pass, and return the rentals that the autoscaler then requests."""
         self.step(after_s)
         self.outbox.take()
         self.leader.autoscaler.adjust(self.now)
         return [effect for effect in self.outbox.take() if isinstance(effect, Rent)]
 
-    def grant(self, request: Rent, boots: bool = True) -> list[Machine]:
-        """Answer with all machines that were requested; with `boots`, they are up at once."""
+    def grant(self, request: Rent, up_at_once: bool = True) -> list[Machine]:
+        """Answer with all machines that were requested; with `up_at_once` they run at once."""
         names = [f"{request.name}-{number}" for number in range(request.count)]
         request.continuation(Rented(list(names)))
         machines = [self.leader.cluster.machines[MachineId(name)] for name in names]
-        for machine in machines if boots else ():
+        for machine in machines if up_at_once else ():
             self._report(machine)
         self.rented += machines
         return machines
@@ -76,11 +76,11 @@
     def refuse(self, request: Rent) -> None:
         request.continuation(RentalRefused())
 
-    def serve(self, seconds: int, refused: tuple[str, ...] = ()) -> list[Rent]:
+    def answer_rentals(self, seconds: int, refused: tuple[str, ...] = ()) -> list[Rent]:
         """Answer the rentals of the next seconds: refuse those in `refused` zones, grant others."""
         requests = []
         for _ in range(seconds):
-            for request in self.adjust(1.0):
+            for request in self.request_rentals(1.0):
                 requests.append(request)
                 if request.zone in refused:
                     self.refuse(request)
--- a/tests/test_rentals.py
+++ b/tests/test_rentals.py
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize(("machines", "open_after"), [(["m-1"], False), (["m-1", "m-2"], True)])
-def test_rented_machines_are_entered_and_a_pool_that_had_too_few_closes(
+def test_rented_machines_are_added_and_a_pool_that_had_too_few_closes(
     machines: list[str], open_after: bool
 ) -> None:
     term = Term()
--- a/tests/test_zone_bound_days.py
+++ b/tests/test_zone_bound_days.py
@@ -3,8 +3,10 @@
 The tests guard against a spread gang that waits forever beside a free machine. Scaling out counted
 all its tasks into the free capacity of that machine, although the gang may only use its share of
 the machine's zone, and so rented nothing in another zone; a gang needs capacity for all its tasks
-at once. `PYTHONHASHSEED=0 PYTHONPATH=src python -m tests.drawn_days --seed 6` drew such a day, the
-fourth of 90, with a gang of six tasks. It needs no fault and also occurs on a quiet day.
+at once. The log named neither the job nor a reason. `PYTHONHASHSEED=0 PYTHONPATH=src python -m
+tests.drawn_days --seed 6` drew such a day, the fourth of 90: "waits: job-000000 while a machine has
+free capacity for it", where job-000000 is a spread gang of six tasks. It needs no fault and also
+occurs on a quiet day.
 """
 
 from __future__ import annotations
--- a/tests/test_zone_limits.py
+++ b/tests/test_zone_limits.py
@@ -52,7 +52,7 @@
         scale_out.add_machine(f"m-{number}")
     scale_out.add_job("job-1", **spread(gang, tasks=tasks, cpus=2.0))
 
-    held = tasks_held(scale_out.adjust(), 2.0)
+    held = tasks_held(scale_out.request_rentals(), 2.0)
 
     assert list(held) == ["b"]
     assert lacking <= held["b"] <= lacking + 3, (
@@ -66,7 +66,7 @@
     array = scale_out.add_job("job-1", **spread(gang=False, tasks=2))
     scale_out.place(array, machine)
 
-    assert [request.zone for request in scale_out.adjust()] == ["b"]
+    assert [request.zone for request in scale_out.request_rentals()] == ["b"]
 
 
 def test_a_spread_gang_that_lost_a_member_lacks_it_in_the_members_zone() -> None:
@@ -77,7 +77,7 @@
     for machine in (*machines, other):
         scale_out.place(gang, machine)
 
-    assert [request.zone for request in scale_out.adjust()] == ["b"]
+    assert [request.zone for request in scale_out.request_rentals()] == ["b"]
 
 
 def test_a_task_on_a_machine_not_described_yet_counts_in_every_zone() -> None:
@@ -88,7 +88,7 @@
     scale_out.place(array, unknown)
     scale_out.add_machine("m-0")
 
-    assert tasks_held(scale_out.adjust(), LARGE_TASK) == {"b": 1}
+    assert tasks_held(scale_out.request_rentals(), LARGE_TASK) == {"b": 1}
 
 
 def test_two_spread_gangs_do_not_both_count_on_the_same_place() -> None:
@@ -100,7 +100,7 @@
         scale_out.add_job(f"job-{number}", **spread(tasks=2, cpus=LARGE_TASK), waited_s=30 + number)
     scale_out.leader.term.deployment.teams[BLUE] = TeamLimits(BLUE, 64.0, 64.0, 0.0, 0.0)
 
-    assert tasks_held(scale_out.adjust(), LARGE_TASK) == {"b": 1}
+    assert tasks_held(scale_out.request_rentals(), LARGE_TASK) == {"b": 1}
 
 
 def test_tasks_that_failed_on_machines_are_counted_into_the_only_other_one() -> None:
@@ -110,7 +110,7 @@
     array = scale_out.add_job("job-1", **spread(gang=False, tasks=2))
     array.failed_on.add(MachineId("m-0"))
 
-    assert [request.zone for request in scale_out.adjust()] == ["b"]
+    assert [request.zone for request in scale_out.request_rentals()] == ["b"]
 
 
 @pytest.mark.parametrize("shape", [Shape.ARRAY, Shape.GANG])
@@ -123,7 +123,7 @@
     )
     scale_out.place(one_zone_job, machine)
 
-    assert [request.zone for request in scale_out.adjust()] == ["b"]
+    assert [request.zone for request in scale_out.request_rentals()] == ["b"]
 
 
 def test_nothing_is_rented_elsewhere_for_a_one_zone_job_whose_zone_has_no_machines() -> None:
@@ -134,7 +134,7 @@
     one_zone_job = scale_out.add_job("job-1", team=BLUE, tasks=2, cpus=4.0, one_zone=True)
     scale_out.place(one_zone_job, machine)
 
-    requests = scale_out.serve(30, refused=("b",))
+    requests = scale_out.answer_rentals(30, refused=("b",))
 
     assert {request.zone for request in requests} == {"b"}
 
@@ -145,7 +145,7 @@
     scale_out.add_machine("m-1", zone="a", type_index=0)
     scale_out.add_job("job-1", team=BLUE, tasks=2, cpus=4.0, one_zone=True)
 
-    assert sum(tasks_held(scale_out.adjust(), 4.0).values()) >= 1
+    assert sum(tasks_held(scale_out.request_rentals(), 4.0).values()) >= 1
 
 
 @pytest.mark.parametrize(
@@ -161,7 +161,7 @@
     scale_out.add_machine("m-0", type_index=0)
     scale_out.add_job("job-1", team=BLUE, tasks=1, **constraint)
 
-    (request,) = scale_out.adjust()
+    (request,) = scale_out.request_rentals()
 
     assert constraint.get("zone") in (None, request.zone)
     assert constraint.get("types") in (None, (request.type,))
@@ -183,7 +183,7 @@
     array = scale_out.add_job("job-1", team=BLUE, tasks=3, cpus=1.0, gpus=1.0)
     scale_out.place(array, machine)
 
-    assert [request.type for request in scale_out.adjust()] == []
+    assert [request.type for request in scale_out.request_rentals()] == []
 
 
 def test_nothing_is_rented_for_a_team_that_the_settings_do_not_name() -> None:
@@ -192,7 +192,7 @@
     scale_out = ScaleOut()
     scale_out.add_job("job-1", team=Team("gone"), tasks=3)
 
-    assert scale_out.adjust() == []
+    assert scale_out.request_rentals() == []
 
 
 # Excess rentals, and rented machines that are returned or kept wrongly
@@ -212,10 +212,10 @@
     scale_out = ScaleOut()
     add_surplus_capacity(scale_out)
     scale_out.add_job("job-1", **spread(tasks=2, cpus=LARGE_TASK))
-    scale_out.serve(60, refused=("b",))
+    scale_out.answer_rentals(60, refused=("b",))
     early = len(scale_out.rented)
 
-    scale_out.serve(60 * MINUTES, refused=("b",))
+    scale_out.answer_rentals(60 * MINUTES, refused=("b",))
 
     assert early <= 3
     assert len(scale_out.rented) == early
@@ -224,12 +224,12 @@
 def test_a_spread_gang_without_a_second_zone_leaves_rentals_to_other_work() -> None:
     scale_out = ScaleOut()
     scale_out.add_job("job-1", **spread(tasks=2, cpus=LARGE_TASK))
-    scale_out.serve(120, refused=("b",))
+    scale_out.answer_rentals(120, refused=("b",))
     scale_out.add_job("job-2", tasks=1, cpus=LARGE_TASK, waited_s=0.0)
     for machine in scale_out.rented:
         scale_out.place(scale_out.add_job(f"job-on-{machine.id}", tasks=1, cpus=8.0), machine)
 
-    requests = scale_out.serve(30, refused=("b",))
+    requests = scale_out.answer_rentals(30, refused=("b",))
 
     assert "a" in [request.zone for request in requests]
 
@@ -241,7 +241,7 @@
         types[name] = replace(machine_type, zones=(Zone("a"),))
     scale_out.add_job("job-1", **spread(tasks=2, cpus=LARGE_TASK))
 
-    requests = scale_out.adjust()
+    requests = scale_out.request_rentals()
 
     assert tasks_held(requests, LARGE_TASK).get("a", 0) == 0
 
@@ -252,7 +252,7 @@
     add_surplus_capacity(scale_out)
     scale_out.add_job("job-1", **spread(tasks=2, cpus=LARGE_TASK, one_zone=True))
 
-    scale_out.serve(60 * MINUTES)
+    scale_out.answer_rentals(60 * MINUTES)
 
     assert scale_out.rented == []
 
@@ -261,13 +261,13 @@
     scale_out = ScaleOut()
     add_surplus_capacity(scale_out)
     scale_out.add_job("job-1", **spread(tasks=2, cpus=LARGE_TASK), waited_s=100.0)
-    (first,) = scale_out.adjust()
+    (first,) = scale_out.request_rentals()
     (waiting_machine,) = scale_out.grant(first)
-    (second,) = scale_out.adjust()
-    (booting,) = scale_out.grant(second, boots=False)
+    (second,) = scale_out.request_rentals()
+    (booting,) = scale_out.grant(second, up_at_once=False)
 
     for _ in range(90):
-        scale_out.adjust(1.0)
+        scale_out.request_rentals(1.0)
         booting.created_at = scale_out.now
 
     assert {first.zone, second.zone} == {"a", "b"}
@@ -280,7 +280,7 @@
     add_surplus_capacity(scale_out)
     scale_out.add_job("job-1", **spread(tasks=2, cpus=LARGE_TASK))
 
-    scale_out.serve(60 * MINUTES, refused=("b",))
+    scale_out.answer_rentals(60 * MINUTES, refused=("b",))
 
     assert scale_out.rented
     assert all(machine.decommissioning for machine in scale_out.rented)
