--- a/src/crosscleat/core/capacity/deletions.py
+++ b/src/crosscleat/core/capacity/deletions.py
@@ -12,7 +12,7 @@
 from ..state.decommission_records import DecommissionRecords
 from ..state.machine import Machine
 from .interruptions import InterruptionStats
-from .machine_watch import AttemptEnds
+from .machine_watch import AttemptEndHandler
 from .machines import Machines
 
 DECOMMISSION_RECORD_S = 120.0
@@ -44,7 +44,7 @@
         cluster: ClusterState,
         machines: Machines,
         records: DecommissionRecords,
-        attempts: AttemptEnds,
+        attempts: AttemptEndHandler,
         liveness: SilenceDeletions,
         interruptions: InterruptionStats,
     ) -> None:
@@ -89,7 +89,7 @@
     def _clean_up(self, machine: Machine, now: Seconds) -> None:
         """End the attempts of a machine that is deleted, and remove it from the cluster."""
         for allocation in list(machine.allocations.values()):
-            self._attempts.ended(machine, allocation)
+            self._attempts.handle_end(machine, allocation)
         if machine.deleted_for_silence:
             self._liveness.record_silence_deletion(machine, now)
             if machine.spot:
--- a/src/crosscleat/core/capacity/machine_watch.py
+++ b/src/crosscleat/core/capacity/machine_watch.py
@@ -35,10 +35,10 @@
         """Whether the machine has been silent for so long that it is to be deleted."""
 
 
-class AttemptEnds(Protocol):
+class AttemptEndHandler(Protocol):
     """Handles attempts that have ended (`control.attempts.Attempts`)."""
 
-    def ended(self, machine: Machine, allocation: Allocation) -> None:
+    def handle_end(self, machine: Machine, allocation: Allocation) -> None:
         """Handle an attempt that is proven to have ended without a result."""
 
 
@@ -48,7 +48,7 @@
     def __init__(
         self,
         term: LeadingTerm,
-        attempts: AttemptEnds,
+        attempts: AttemptEndHandler,
         liveness: SilenceLimits,
         decommissioner: Decommissioner,
     ) -> None:
@@ -99,4 +99,4 @@
         lease_s = self._term.deployment.lease_s * CLOCK_DRIFT + LEASE_SLACK_S
         if machine.allocations and now > machine.last_possible_renewal + lease_s:
             for allocation in list(machine.allocations.values()):
-                self._attempts.ended(machine, allocation)
+                self._attempts.handle_end(machine, allocation)
--- a/src/crosscleat/core/control/assembly.py
+++ b/src/crosscleat/core/control/assembly.py
@@ -1,4 +1,4 @@
-"""Builds a leader from its parts.
+"""The one module that builds a leader from its parts.
 
 Each part receives its dependencies through its constructor, and no attribute is set afterwards, so
 a part is built after the parts that it calls. Where two parts depend on each other, one of them
@@ -54,17 +54,17 @@
 
 
 class _SharedState:
-    """The objects that several parts of a leader share."""
+    """What several parts of a leader share: the term, the known state and the pending work."""
 
     def __init__(
-        self, term: LeadingTerm, types: dict[TypeName, MachineType], allow_short_chunks: bool
+        self, term: LeadingTerm, types: dict[TypeName, MachineType], shorten_chunks: bool
     ) -> None:
         deployment = term.deployment
         self.term = term
         self.jobs: dict[JobRef, Job] = {}
         self.cluster = ClusterState()
         self.placement_records = PlacementRecords(
-            deployment.value_kb, deployment.txn_ops, allow_short_chunks
+            deployment.value_kb, deployment.txn_ops, shorten_chunks
         )
         self.decommission_records = DecommissionRecords(deployment.value_kb)
         self.run_times = RunTimes()
@@ -116,16 +116,16 @@
     types: dict[TypeName, MachineType],
     now: Seconds,
     wall_time: WallTime,
-    allow_short_chunks: bool = True,
+    shorten_chunks: bool = True,
 ) -> Leader:
-    """Build a leader whose term begins now, with no jobs and no machines.
+    """Build a leader whose term begins now, and which knows no jobs or machines yet.
 
     `types` is shared with the controller, which updates it. `wall_time` is the present
-    wall-clock time. `allow_short_chunks` permits chunks of fewer tasks, to stay within the
-    store's limit for a value; it must be False while a controller of an older version, which can't
-    read those, may take over.
+    wall-clock time. `shorten_chunks`: chunks may be shortened to fit into a value of the store. It
+    must be False while a controller of an older version, which can't read such chunks, may take
+    over.
     """
-    state = _SharedState(LeadingTerm(deployment, election, outbox, now), types, allow_short_chunks)
+    state = _SharedState(LeadingTerm(deployment, election, outbox, now), types, shorten_chunks)
     machines = _machine_parts(state)
     planning = _planning_parts(state, machines, rng)
     workers = _worker_parts(state, machines, planning.evacuation)
--- a/src/crosscleat/core/control/attempts.py
+++ b/src/crosscleat/core/control/attempts.py
@@ -47,7 +47,7 @@
         allocation.grace_s = grace_s
         self._pending.send_soon(machine.id)
         if not allocation.in_last_heartbeat and not machine.may_still_start(allocation):
-            self.ended(machine, allocation)
+            self.handle_end(machine, allocation)
 
     def preempt(self, machine: Machine, allocation: Allocation) -> None:
         """Stop the attempt, with time to save its progress if the job has checkpoints."""
@@ -70,7 +70,9 @@
         for machine, allocation in to_stop:
             self.stop(machine, allocation, grace_s)
 
-    def ended(self, machine: Machine, allocation: Allocation, cause: str | None = None) -> None:
+    def handle_end(
+        self, machine: Machine, allocation: Allocation, cause: str | None = None
+    ) -> None:
         """Release the allocation of an attempt that is proven to have ended, and update its task.
 
         `cause` is the cause of the exit that a heartbeat has reported; None if no exit was
@@ -110,10 +112,10 @@
     def _handle_lost_gang_member(
         self, job: Job, number: int, machine: Machine, cause: str | None
     ) -> None:
-        """Mark a member that ended without a result for replacement, or else stop the whole gang.
+        """Handle a member that ended without a result: queue its replacement, or stop the gang.
 
-        The other members get no time to save: their progress since the last checkpoint is lost
-        without this member, or has been saved already.
+        The other members get no time to save: their progress since the last checkpoint is lost, or
+        has been saved already.
         """
         if may_replace(cause, self._cluster.allocations_of(job, except_number=number)):
             job.progress.lost_on.add(machine.id)
--- a/src/crosscleat/core/control/commands.py
+++ b/src/crosscleat/core/control/commands.py
@@ -77,7 +77,7 @@
     def build_orders(
         self, machine: Machine, now: Seconds, answered_sequence: int | None
     ) -> list[Order]:
-        """Build the orders for the worker, and mark the starts among them as sent.
+        """Build the orders for the worker, and mark all its due starts as sent.
 
         `answered_sequence` is the sequence number of the heartbeat that the orders respond to, or
         None if they are sent as a direct command.
--- a/src/crosscleat/core/control/cycle_factory.py
+++ b/src/crosscleat/core/control/cycle_factory.py
@@ -21,7 +21,7 @@
 
 
 def is_plannable(job: Job) -> bool:
-    """Whether tasks of the job may be placed: not cancelled, no reread of its record due."""
+    """Whether tasks of the job may be placed: not if it is cancelled or its record outdated."""
     return not job.cancelled and not job.needs_reread
 
 
--- a/src/crosscleat/core/control/gang_control.py
+++ b/src/crosscleat/core/control/gang_control.py
@@ -67,7 +67,7 @@
                 continue
             incomplete.pop(job.ref, None)
             if phase is not Phase.WAITING or not self._replace_missing(job, now):
-                # No time to save is given: progress is lost with the member, or saved already.
+                # No time to save is given: progress is lost, or has been saved already.
                 self._attempts.stop_gang(job, 0.0)
 
     def _replace_missing(self, job: Job, now: Seconds) -> bool:
@@ -80,13 +80,13 @@
             return False
         waiting_since = job.progress.waiting_since
         waited_s = 0.0 if waiting_since is None else now - waiting_since
-        left_s = self._term.deployment.gang_wait_s - waited_s
+        time_left_s = self._term.deployment.gang_wait_s - waited_s
         machines = [
             machine
             for machine in self._cycles.usable_machines(now)
             if machine.id not in job.progress.lost_on
         ]
-        for assignment in self._cycles.new_cycle(now).complete_gang(job, machines, left_s):
+        for assignment in self._cycles.new_cycle(now).complete_gang(job, machines, time_left_s):
             self._placer.place(job, self._cluster.machines[assignment.machine])
         if job.placed_count() < job.spec.tasks:
             return False
--- a/src/crosscleat/core/control/heartbeat_processing.py
+++ b/src/crosscleat/core/control/heartbeat_processing.py
@@ -103,7 +103,7 @@
             # its epochs restarted. Attempts placed since then have an earlier epoch, but still
             # run.
             for allocation in self._cluster.allocations_before_epoch(machine, agent_epoch):
-                self._attempts.ended(machine, allocation)
+                self._attempts.handle_end(machine, allocation)
         listed_tasks = {(task.task, task.attempt): task for task in heartbeat.tasks}
         machine.update_task_list(listed_tasks)
         for key, allocation in list(machine.allocations.items()):
--- a/src/crosscleat/core/control/job_changes.py
+++ b/src/crosscleat/core/control/job_changes.py
@@ -50,7 +50,7 @@
     def create_job(self, live: Item, now: Seconds) -> Job:
         """Create a job from its live record.
 
-        The record's submission time, on the wall clock, is converted to the steady clock.
+        The record's submission time, on the wall clock, is converted to the monotonic clock.
         """
         submitted = Seconds(min(now, submitted_at(live.value) - self._wall_offset_s))
         chunk_length = self._placement_records.chunk_length
--- a/src/crosscleat/core/control/job_watch.py
+++ b/src/crosscleat/core/control/job_watch.py
@@ -99,7 +99,7 @@
     def __init__(
         self, term: LeadingTerm, on_changes: Callable[[list[Item], Seconds], None], after: Version
     ) -> None:
-        """`on_changes` gets the changed records, oldest first; `after` is the known revision."""
+        """`on_changes` gets the changed records, oldest first; `after`: the last known revision."""
         self._term = term
         self._on_changes = on_changes
         self._after = after
--- a/src/crosscleat/core/control/orders.py
+++ b/src/crosscleat/core/control/orders.py
@@ -27,12 +27,13 @@
         """Cache of whether the placements of all members of a gang are recorded."""
 
     def clear_gang_cache(self) -> None:
-        """Clear the cache of complete gangs; it is valid while no placement is recorded."""
+        """Clear the cache of complete gangs; it is valid until the next placement is recorded."""
         self._gangs_complete.clear()
 
     def build(self, machine: Machine, now: Seconds, answered_sequence: int | None) -> list[Order]:
         """Build at most `MAX_ORDERS` orders for the worker, and mark all due starts as sent.
 
+        Starts beyond that limit are marked too, and are built again for the next message.
         `answered_sequence` is the sequence number of the heartbeat that the orders respond to, or
         None if they are sent as a direct command.
         """
@@ -45,7 +46,7 @@
                         StopOrder(str(allocation.task), allocation.attempt, allocation.grace_s)
                     )
                 elif machine.reported_token <= machine.direct.pending_start_token:
-                    self._request_rotation(machine)
+                    self._request_token_rotation(machine)
             elif may_start and self._is_startable(machine, allocation):
                 orders.append(StartOrder(str(allocation.task), allocation.attempt))
                 allocation.start_sent = True
@@ -93,7 +94,7 @@
         done = machine.exited[key] == heartbeats.DONE
         repeat_token = NO_TOKEN if done else machine.direct.starts.get(key, NO_TOKEN)
         if machine.reported_token <= max(machine.direct.pending_start_token, repeat_token):
-            self._request_rotation(machine)
+            self._request_token_rotation(machine)
             return False
         task, attempt = key
         job = self._jobs.get(task.job)
@@ -102,6 +103,6 @@
         chunk = job.chunks.get(task.number // job.chunk_length)
         return chunk is None or (task.number, attempt, machine.id) not in chunk.recorded
 
-    def _request_rotation(self, machine: Machine) -> None:
+    def _request_token_rotation(self, machine: Machine) -> None:
         if machine.reported_token >= self._term.initial_token:
             self._pending.token_rotation_wanted = True
--- a/src/crosscleat/core/control/placer.py
+++ b/src/crosscleat/core/control/placer.py
@@ -1,4 +1,7 @@
-"""Turns assignments into allocations, after a check against the current state of the cluster."""
+"""Turns assignments into allocations, if the present state of the cluster still allows it.
+
+Every attempt that may be running now counts against its machine, its zone and its team's quota.
+"""
 
 from __future__ import annotations
 
@@ -70,7 +73,7 @@
         if job.placed_count() < job.spec.tasks:
             # No start was sent and no placement written yet, so the allocations can be released.
             for machine, allocation in list(self._cluster.allocations_of(job)):
-                self._attempts.ended(machine, allocation)
+                self._attempts.handle_end(machine, allocation)
 
     def _can_place(self, job: Job, machine: Machine, now: Seconds) -> bool:
         """Whether a task waits, and the machine, its zone and the team's quota allow it."""
--- a/src/crosscleat/core/control/retries.py
+++ b/src/crosscleat/core/control/retries.py
@@ -78,6 +78,6 @@
         return min(MAX_FAILURE_PAUSE_S, 0.5 * 2.0**failures)
 
     def _is_faulty(self, machine: Machine) -> bool:
-        """Whether several jobs failed on the machine, without those that fail on any machine."""
+        """Whether several jobs failed on the machine; jobs that fail on any machine don't count."""
         jobs = (self._jobs.get(JobRef(ref)) for ref in machine.failed_jobs)
         return sum(1 for job in jobs if job and not fails_repeatedly(job)) >= QUARANTINE_JOBS
--- a/src/crosscleat/core/control/scheduler.py
+++ b/src/crosscleat/core/control/scheduler.py
@@ -68,7 +68,10 @@
         """The last cycle skipped preemption, because the last preemption was too recent."""
 
     def run_if_due(self, now: Seconds) -> None:
-        """Run a cycle if one is wanted, unless the last one was too recent."""
+        """Run a cycle if something has changed or a deferred preemption is due.
+
+        No cycle runs while the last one is too recent.
+        """
         preemption_due = self._preemption_deferred and now >= self._next_preemption_at
         if (self._pending.cycle_wanted or preemption_due) and now >= self._next_cycle_at:
             self._next_cycle_at = Seconds(now + self._min_interval_s())
@@ -110,7 +113,7 @@
                 self._placer.place(job, machine)
 
     def _preempt(self, jobs: list[Job], machines: list[Machine], now: Seconds) -> None:
-        """Stop tasks chosen by `choose_victims` for jobs that the cycle found no capacity for."""
+        """Stop running tasks, chosen by `choose_victims`, for jobs that got no free capacity."""
         self._preemption_deferred = now < self._next_preemption_at
         if self._preemption_deferred:
             return
--- a/src/crosscleat/core/control/status_queries.py
+++ b/src/crosscleat/core/control/status_queries.py
@@ -1,4 +1,7 @@
-"""Answers queries for the status of jobs, on every controller, from the store.
+"""Answers queries for the status of jobs, on every controller.
+
+Whether a job is live, cancelled or ended is read from the store alone. The numbers of done and
+running tasks of live jobs come from the leader.
 
 Queries share reads: each refresh of the copy of the live jobs answers all queries that arrived
 before it was sent. Its result is as recent as that of a separate read for each query.
@@ -19,13 +22,14 @@
 from .live_jobs import LiveJobsCopy
 
 MAX_ENDED_JOBS_KEPT = 20_000
-"""Maximum number of ended jobs in memory, counted separately for those whose outcome was read."""
+"""Maximum number of ended jobs in memory whose outcome has been read; also of those whose outcome
+nobody has asked for yet."""
 
 RETRY_AFTER_S = 1
 """Value of the Retry-After header, in seconds, of a response with status 503."""
 
 MIN_REFRESH_INTERVAL_S = 0.05
-"""Minimum time in seconds between two refreshes, which limits the load on the store."""
+"""Minimum interval in seconds between refreshes; it limits our share of the store's requests."""
 
 
 class StatusQuery(msgspec.Struct, frozen=True):
--- a/src/crosscleat/core/control/task_statuses.py
+++ b/src/crosscleat/core/control/task_statuses.py
@@ -34,7 +34,7 @@
         if task is None:
             allocation.in_last_heartbeat = False
             if allocation.stopping and not machine.may_still_start(allocation):
-                self._attempts.ended(machine, allocation)
+                self._attempts.handle_end(machine, allocation)
             elif not allocation.stopping and self._gang_is_done(allocation):
                 # No start order is sent for it again: it has ended, or must not start any more.
                 self._attempts.stop(machine, allocation, 0.0)
@@ -82,7 +82,7 @@
         job = self._jobs.get(allocation.task.job)
         if job is not None and job.is_gang and task.saved:
             job.progress.end_attempt(job.spec, now, saved=True)
-        self._attempts.ended(machine, allocation, cause)
+        self._attempts.handle_end(machine, allocation, cause)
 
     def learn_run_time(self, allocation: Allocation, now: Seconds) -> None:
         """Update the run-time estimates from a completed run that this term observed in full.
--- a/src/crosscleat/core/control/user_requests.py
+++ b/src/crosscleat/core/control/user_requests.py
@@ -130,8 +130,7 @@
     def cancel(self, request: int, ref: JobRef) -> None:
         """Cancel the job, unless it has ended.
 
-        If the job is cancelled and completes at the same time, the first change of its live record
-        decides.
+        If the job completes at the same time, the first change of its live record decides.
         """
         self._try_cancel(request, ref, retries=0)
 
--- a/src/crosscleat/core/control/write_outcomes.py
+++ b/src/crosscleat/core/control/write_outcomes.py
@@ -51,10 +51,13 @@
                 self._pending.send_soon(machine.id)
 
     def placements_voided(self, job: Job) -> None:
-        """Release the unrecorded placements of a cancelled job; their starts were never sent."""
+        """Release the unrecorded placements of a cancelled job.
+
+        Their starts were never sent, and never will be.
+        """
         for machine, allocation in list(self._cluster.allocations_of(job)):
             if not allocation.recorded:
-                self._attempts.ended(machine, allocation)
+                self._attempts.handle_end(machine, allocation)
 
     def job_reread(self, live: Item) -> None:
         """Apply a job's live record that was read again after a conflict."""
--- a/src/crosscleat/core/control/writer.py
+++ b/src/crosscleat/core/control/writer.py
@@ -36,7 +36,7 @@
 """Interval in seconds of writes that are not urgent: they only save a later leader some work."""
 
 MAX_DEFERRED_WRITES = 4
-"""Maximum number of such writes in one transaction."""
+"""Maximum number of non-urgent writes in one transaction."""
 
 MAX_END_WRITES = 6
 """Maximum number of writes in one transaction that record the ends of jobs."""
@@ -160,10 +160,8 @@
             if machine.decommissioning and not machine.decommission_recorded
         ]
         if unrecorded and batch.has_capacity(1, 1):
-            batch.decommission_record, names_left = (
-                self._decommission_records.record_with_capacity()
-            )
-            batch.decommissioned = unrecorded[: min(names_left, MAX_DECOMMISSIONS)]
+            batch.decommission_record, ids_left = self._decommission_records.record_with_capacity()
+            batch.decommissioned = unrecorded[: min(ids_left, MAX_DECOMMISSIONS)]
             batch.put(
                 batch.decommission_record.put_with(machine.id for machine in batch.decommissioned),
                 batch.decommission_record.version,
--- a/tests/test_assembly.py
+++ b/tests/test_assembly.py
@@ -1,7 +1,7 @@
-"""`build_leader` hands all dependencies of a part to its constructor.
+"""A leader is built in one place, from parts that are complete once their constructors return.
 
-A part that is given an attribute or a callback later could be used before it is complete, and the
-order in which parts may be built would no longer follow from the constructors.
+The tests fail if a part gets an attribute after its construction, or a function that may call a
+part which is built later.
 """
 
 from __future__ import annotations
--- a/tests/test_done_gangs.py
+++ b/tests/test_done_gangs.py
@@ -1,4 +1,4 @@
-"""A gang whose last task was neither started again nor counted as ended: the job never ended.
+"""A gang never ended, because its last task was neither started again nor counted as ended.
 
 Found on the 22nd of 90 drawn days of seed 83 (`tests.drawn_days --seed 83`) as "job-000001 never
 ends", and reduced to the steps that are needed. Four of the gang's five tasks were done when the
--- a/tests/test_gang_replacement.py
+++ b/tests/test_gang_replacement.py
@@ -58,7 +58,7 @@
     lost = next(
         placed for placed in term.leader.cluster.allocations_of(gang) if placed[0].id == "m-1"
     )
-    term.leader.attempts.ended(*lost)
+    term.leader.attempts.handle_end(*lost)
 
     term.leader.finish_step(term.now)
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -1,7 +1,7 @@
 """Gangs in the simulated world: all tasks of such a job run together, or none.
 
-The world raises an error when a gang's task starts before the store has recorded the placements of
-all members, or while another attempt of the gang runs.
+The world raises the error `a part of a gang` when a gang's task starts before the store has
+recorded the placements of all members, and another error when it starts beside another attempt.
 """
 
 from __future__ import annotations
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,7 +1,7 @@
 """Retry pauses of tasks, and the quarantine of machines on which several jobs fail.
 
-Without a pause, a task that fails or is refused at once would be placed again in every cycle;
-without the quarantine, a faulty machine would go on failing the tasks of other jobs.
+Without a pause, a task that fails or is refused could be placed again in the very next cycle.
+Without the quarantine, tasks of further jobs would be placed on a faulty machine.
 """
 
 from __future__ import annotations
--- a/tests/test_user_requests.py
+++ b/tests/test_user_requests.py
@@ -117,7 +117,7 @@
 def test_queries_share_a_read_that_began_after_them() -> None:
     requests, outbox = requests_with_copy()
     requests.query(2, JobRef("job-1"))
-    # A refresh is delayed after the last one, to limit the load on the store.
+    # The refresh is delayed, which limits the controller's share of the store's requests.
     delay = only(outbox, Delay)
     requests.query(3, JobRef("job-2"))
     delay.continuation()
