--- a/tests/gangs.py
+++ b/tests/gangs.py
@@ -37,7 +37,7 @@
     seed: int, estimate_s: float = 10.0, count: int = 3, zone: bool = True
 ) -> World:
     world = World(seed)
-    world.boot_fails = 0.0
+    world.boot_failure_chance = 0.0
     world.clock.advance(3.0)
     for number in range(count):
         world.users.submit(
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -201,7 +201,7 @@
 @seeds
 def test_more_work_than_capacity_over_slow_links(seed: int) -> None:
     world = world_of(seed, jobs=0)
-    world.network.slow_s = 1.5
+    world.network.extra_delay_s = 1.5
     for number in range(24):
         world.users.submit(
             job(
@@ -276,7 +276,7 @@
     for other in MEMBERS:
         if other != old:
             world.network.cut(old, other, mode)
-    world.serving = [member for member in MEMBERS if member != old]
+    world.cancellation_members = [member for member in MEMBERS if member != old]
     world.clock.advance(5.0)
     for number in range(4):
         world.users.cancel(f"job-{number}")
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -70,11 +70,11 @@
     world = world_with_gangs(seed, estimate_s=40.0, count=1)
     assert running(world, "job-0") == 3
 
-    started = world.started
+    started = world.start_count
     world.crash(leader_of(world), 5.0)
     world.clock.advance(10.0)
     assert running(world, "job-0") == 3
-    assert world.started == started
+    assert world.start_count == started
 
 
 @pytest.mark.parametrize("seed", range(8))
--- a/tests/test_isolated.py
+++ b/tests/test_isolated.py
@@ -11,7 +11,17 @@
 from crosscleat.core.state.keys import live_key
 from crosscleat.core.state.placement_records import PlacementRecords
 
-from .world import CANCEL_S, LEASE_S, MEMBERS, REGION, World, at_work, job, leader_of, running
+from .world import (
+    CANCEL_S,
+    LEASE_S,
+    MEMBERS,
+    REGION,
+    World,
+    job,
+    leader_of,
+    running,
+    world_with_long_job,
+)
 
 
 def isolate(world: World, leader: str) -> list[str]:
@@ -29,7 +39,7 @@
 @pytest.fixture
 def busy() -> World:
     """A world in which long tasks run, and no machine is faulty."""
-    world = at_work(estimate_s=400.0, for_s=20.0, seed=4)
+    world = world_with_long_job(estimate_s=400.0, elapsed_s=20.0, seed=4)
     assert running(world, "job-long") == 3
     return world
 
@@ -81,11 +91,11 @@
         busy.cloud.add_machine("large", zone, False)
     busy.clock.advance(CANCEL_S - LEASE_S)
     assert leader_of_others(busy, old)
-    assert busy.started == 3
+    assert busy.start_count == 3
 
     # The world raises ran_twice if a task starts again while it is on its old machine.
     busy.clock.advance(60.0)
-    assert busy.started > 3, "finally the lost tasks start elsewhere"
+    assert busy.start_count > 3, "finally the lost tasks start elsewhere"
 
 
 def leader_of_others(world: World, old: str) -> bool:
@@ -120,7 +130,7 @@
 
     The followers revoked the lease of a live leader that still reached its workers.
     """
-    former, started = leader_of(busy), busy.started
+    former, started = leader_of(busy), busy.start_count
     term = token_of(busy, former)
     for member in MEMBERS:
         if member != former:
@@ -129,7 +139,7 @@
             busy.report_unreachable(member, former)
     busy.clock.advance(6.0)
     assert token_of(busy, leader_of(busy)) > term, "there is another term"
-    assert busy.started == started, "running tasks continue"
+    assert busy.start_count == started, "running tasks continue"
     assert running(busy, "job-long") == 3
 
     busy.users.cancel("job-long")
--- a/tests/test_outage_after_partition.py
+++ b/tests/test_outage_after_partition.py
@@ -12,7 +12,17 @@
 
 from crosscleat.core.model.ids import Team
 
-from .world import CANCEL_S, HEARTBEAT_S, LEASE_S, MEMBERS, World, at_work, job, leader_of, running
+from .world import (
+    CANCEL_S,
+    HEARTBEAT_S,
+    LEASE_S,
+    MEMBERS,
+    World,
+    job,
+    leader_of,
+    running,
+    world_with_long_job,
+)
 
 RENEW_S = CANCEL_S - LEASE_S
 BOUNDS = (RENEW_S, CANCEL_S - HEARTBEAT_S, CANCEL_S, RENEW_S + CANCEL_S)
@@ -21,7 +31,7 @@
 
 def cancel_through_others(world: World, leader: str, ref: str) -> None:
     """The followers, which the store serves, confirm it; the leader is not asked."""
-    world.serving = [member for member in MEMBERS if member != leader]
+    world.cancellation_members = [member for member in MEMBERS if member != leader]
     world.users.cancel(ref)
 
 
@@ -64,7 +74,7 @@
     drift: float,
     crash: str | None,
 ) -> None:
-    world = at_work(estimate_s=200.0, for_s=20.0)
+    world = world_with_long_job(estimate_s=200.0, elapsed_s=20.0)
     world.users.submit(job("job-kept", tasks=2, estimate_s=200.0, team=Team("blue")))
     world.clock.advance(10.0)
     world.cloud_down = True
@@ -95,7 +105,7 @@
 
 @pytest.mark.parametrize("until_out_s", [0.5, 2.0])
 def test_tasks_that_nobody_cancelled_run_as_long_as_the_rule_allows(until_out_s: float) -> None:
-    world = at_work(estimate_s=200.0, for_s=20.0)
+    world = world_with_long_job(estimate_s=200.0, elapsed_s=20.0)
     world.cloud_down = True
     gap(world, until_out_s, CANCEL_S, [])
 
@@ -107,7 +117,7 @@
 
 
 def test_a_short_gap_ends_no_work() -> None:
-    world = at_work(estimate_s=200.0, for_s=20.0)
+    world = world_with_long_job(estimate_s=200.0, elapsed_s=20.0)
     gap(world, 1.0, RENEW_S - 4.0, [])
 
     world.clock.advance(CANCEL_S)
@@ -117,7 +127,7 @@
 
 def test_contact_by_a_lease_renewal_alone_extends_no_worker_lease() -> None:
     """After an outage the leader lease is valid at once; the cancellations are still unread."""
-    world = at_work(estimate_s=200.0, for_s=20.0)
+    world = world_with_long_job(estimate_s=200.0, elapsed_s=20.0)
     world.cloud_down = True
     leader = gap(world, 1.0, 12.0, ["job-long"])
     world.store.refused_until.clear()
@@ -136,7 +146,7 @@
 
     Then an outage begins before its first watch gets a reply.
     """
-    world = at_work(estimate_s=200.0, for_s=20.0)
+    world = world_with_long_job(estimate_s=200.0, elapsed_s=20.0)
     world.cloud_down = True
     old = leader_of(world)
     world.slow_scans[scan] = LEASE_S - 3.0
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -18,7 +18,7 @@
 
 def busy_world(seed: int) -> World:
     world = World(seed, upgrade=True)
-    world.boot_fails = 0.0
+    world.boot_failure_chance = 0.0
     world.clock.advance(3.0)
     for number in range(4):
         world.users.submit(
@@ -88,7 +88,7 @@
     assert world.final_statuses["job-more"] == "done"
 
     assert not large_values(world)
-    assert world.store.too_large <= 1
+    assert world.store.rejected_for_size <= 1
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -126,7 +126,7 @@
 def answers_to(world: World, member: str, spec: JobSpec) -> list[Response]:
     found: list[Response] = []
     world.specs[spec.ref] = spec
-    world.users.accepted_when_stored(spec.ref)
+    world.users.accept_once_stored(spec.ref)
     world.request(member, lambda number: SubmitJob(number, spec), found.append)
     world.clock.advance(1.0)
     return found
@@ -216,4 +216,4 @@
 
     assert world.final_statuses["job-g"] == "done"
     assert world.final_statuses["job-many"] == "done"
-    assert world.store.too_large <= 1
+    assert world.store.rejected_for_size <= 1
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -333,4 +333,4 @@
         world.users.query(f"job-{number}")
     world.clock.advance(1.0)
     assert world.final_statuses == {f"job-{number}": "done" for number in range(5)}
-    assert world.started == 20
+    assert world.start_count == 20
--- a/tests/test_unresponsive_workers.py
+++ b/tests/test_unresponsive_workers.py
@@ -9,7 +9,7 @@
 from crosscleat.core.state.machine import Machine
 
 from .term import Term
-from .world import LEASE_S, MEMBERS, TYPES, World, at_work, job
+from .world import LEASE_S, MEMBERS, TYPES, World, job, world_with_long_job
 
 
 def test_an_agent_epoch_that_ended_despite_responses_shows_an_unresponsive_machine() -> None:
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def busy() -> World:
-    return at_work(estimate_s=60.0, for_s=15.0)
+    return world_with_long_job(estimate_s=60.0, elapsed_s=15.0)
 
 
 def hosts(world: World) -> list[str]:
--- a/tests/test_zone_bound_days.py
+++ b/tests/test_zone_bound_days.py
@@ -22,7 +22,7 @@
 def quiet_world(seed: int) -> World:
     """A world in which all machines boot and none is faulty."""
     world = World(seed)
-    world.boot_fails = 0.0
+    world.boot_failure_chance = 0.0
     world.clock.advance(4.0)
     return world
 
--- a/tests/world/__init__.py
+++ b/tests/world/__init__.py
@@ -1,29 +1,36 @@
-"""A small world under a simulated clock: store, cloud, workers, users and a network that fails.
+"""A simulated deployment: store, cloud, workers, users, a faulty network and a simulated clock.
 
-It checks three controller cores against every rule of the protocol, at the moment a rule could be
-broken, and knows nothing of how they decide.
+Three controller cores run in it. The rules of the protocol are checked whenever an event could
+break one of them, without any knowledge of how the controllers decide.
 
-Modules: `world` has the state and the controllers' processes, `effects` carries out what they
-decide, `faults` has the switches of faults; `store_calls` and `worker_calls` are the calls over the
-`network`; `store`, `cloud`, `worker` and `gangs` are what the protocol describes; `users` submit
-and cancel; `rules` checks; `scenario` has the deployment; `clock` the simulated time.
+Modules:
+
+- `world`: the shared state and the controller processes; `effects` executes the effects that the
+  controllers return; `clock` provides the simulated time.
+- `network`, `store_calls`, `worker_calls`: messages and calls between hosts.
+- `store`, `cloud`, `worker`, `gangs`: the services as the protocol describes them.
+- `users`: clients that submit, query and cancel jobs.
+- `faults`: the fault settings. `rules`: the checks of the protocol's rules.
+- `scenario`: the deployment, the time limits and the jobs.
 
 The faults, by the names that tests and docs use:
 
-- cut: no messages between two hosts. With mode `hold` they arrive after the cut, with `reset`
-  they are refused at once. A one-way cut loses one direction.
-- outage: the store serves nobody. `refused_until`: it does not serve one controller.
-- crash: a controller ends and restarts later. freeze, `stalls_s`: it does nothing for a while,
-  although its clocks run on. `cost_s`: it is slow. `drift`: its clock runs faster or slower.
-- hang: a machine does nothing now and everything later. restart: it loses power and is back at
-  once. dead: it never comes back. `reclaimed_at`: the cloud takes it then. faulty: its tasks fail.
+- cut: no messages pass between two hosts. With mode `hold` they are delivered after the cut, with
+  `reset` they are refused immediately. A one-way cut drops the messages of one direction.
+- outage: the store answers no controller. `refused_until`: it does not answer one controller.
+- crash: a controller process ends and restarts later. freeze, `stalls_s`: it is suspended for a
+  while, although its clocks run on. `cost_s`: processing time of each input. `drift`: its clock
+  runs faster or slower than the simulated clock.
+- hang: a machine stops for a while, and then processes everything that arrived meanwhile. restart:
+  it loses power and is back immediately. dead: it never comes back. `reclaimed_at`: the time at
+  which the cloud reclaims a spot machine. faulty: all tasks on the machine fail.
 - silenced: a worker's heartbeats reach no controller. `no_direct`: direct commands do not reach it.
-- flaky: the chance that a commit, a direct command or a rental gets no reply and is carried out
-  late. `late_writes`: the same for all writes to the store. `duplicates`: the chance that a
-  heartbeat or a direct command arrives once more later.
+- flaky: the probability that a commit, a direct command, a rental or a deletion of machines gets no
+  reply and is executed late. `late_writes`: the same for all writes to the store. `duplicates`: the
+  probability that a heartbeat or a direct command is delivered a second time later.
 
-The days that `tests/test_rules.py` draws depend on the source of its class `Rules`, names included:
-a change there draws other days.
+A simulated day is one run of the random test in `tests/test_rules.py`. The days depend on the
+source of its class `Rules`, including the names used there: any edit of the class draws other days.
 """
 
 from .scenario import (
@@ -45,7 +52,7 @@
     deployment,
     job,
 )
-from .world import World, at_work, leader_of, running
+from .world import World, leader_of, running, world_with_long_job
 
 __all__ = [
     "CANCEL_S",
@@ -64,9 +71,9 @@
     "ZONES",
     "RuleBrokenError",
     "World",
-    "at_work",
     "deployment",
     "job",
     "leader_of",
     "running",
+    "world_with_long_job",
 ]
--- a/tests/world/clock.py
+++ b/tests/world/clock.py
@@ -1,4 +1,4 @@
-"""A simulated clock."""
+"""A simulated clock that runs scheduled events."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class Clock:
-    """Runs events in the order of simulated time."""
+    """Runs scheduled events in the order of their simulated time; ties run in scheduling order."""
 
     def __init__(self) -> None:
         self.now = 1000.0
         self._events: list[tuple[float, int, Callable[[], object]]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
 
     def after(self, delay: float, event: Callable[[], object]) -> None:
-        heapq.heappush(self._events, (self.now + delay, next(self._order), event))
+        heapq.heappush(self._events, (self.now + delay, next(self._sequence), event))
 
     def advance(self, seconds: float) -> None:
         end = self.now + seconds
--- a/tests/world/cloud.py
+++ b/tests/world/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud: it rents machines late, refuses some, and lists them late."""
+"""The simulated cloud: delayed rentals, limited capacity, and an outdated list of machines."""
 
 from __future__ import annotations
 
@@ -25,19 +25,22 @@
     from .world import World
 
 
-NOT_ANSWERED: dict[type, Any] = {DeleteMachines: False, Rent: RentalUnanswered()}
-"""The result of a call that the cloud does not answer; None for the calls not named here."""
+UNANSWERED_RESULTS: dict[type, Any] = {DeleteMachines: False, Rent: RentalUnanswered()}
+"""Results of unanswered calls by the type of the call; for all other types the result is None."""
 
 
 class Cloud:
-    """The cloud: it rents machines late, refuses some, and lists them late."""
+    """Rents, lists and deletes machines.
+
+    There are at most two machines of the same type, zone and kind (spot or not).
+    """
 
     def __init__(self, world: World) -> None:
         self.world = world
 
     def call(self, member: str, effect: Any, reply: Callable[..., None]) -> None:
         if self.world.cloud_down or not self.world.network.connected(member, REGION):
-            unanswered = NOT_ANSWERED.get(type(effect))
+            unanswered = UNANSWERED_RESULTS.get(type(effect))
             self.world.clock.after(2.0, lambda: reply(unanswered))
             return
         if isinstance(effect, ListTypes):
@@ -58,13 +61,13 @@
             self.delete(effect, reply)
 
     def rent(self, effect: Rent, reply: Callable[..., None]) -> None:
-        def serve() -> RentalOutcome:
+        def execute() -> RentalOutcome:
             if effect.name in self.world.rentals:
                 return Rented(self.world.rentals[effect.name])
-            same = [w for w in self.world.workers.values()
-                    if not w.dead and (w.machine_type.name, w.zone, w.spot)
-                    == (effect.type, effect.zone, effect.spot)]  # fmt: skip
-            count = min(effect.count, 2 - len(same))
+            existing = [w for w in self.world.workers.values()
+                        if not w.dead and (w.machine_type.name, w.zone, w.spot)
+                        == (effect.type, effect.zone, effect.spot)]  # fmt: skip
+            count = min(effect.count, 2 - len(existing))
             if count <= 0:
                 return RentalRefused()
             names = [self.add_machine(effect.type, effect.zone, effect.spot) for _ in range(count)]
@@ -72,19 +75,19 @@
             return Rented(names)
 
         if self.world.rng.random() < self.world.flaky:
-            # Carried out late, after the caller has given up.
-            self.world.clock.after(self.world.rng.choice((0.1, 20.0)), serve)
+            # Executed with a delay, possibly after the caller has given up.
+            self.world.clock.after(self.world.rng.choice((0.1, 20.0)), execute)
             self.world.clock.after(1.0, lambda: reply(RentalUnanswered()))
         else:
-            self.world.clock.after(0.2, lambda: reply(serve()))
+            self.world.clock.after(0.2, lambda: reply(execute()))
 
     def add_machine(self, machine_type: str, zone: str, spot: bool) -> str:
         name = f"m-{len(self.world.workers):06d}"
-        found = next(t for t in TYPES if t.name == machine_type)
-        worker = Worker(self.world, name, found, zone, spot, self.world.clock.now)
+        matching_type = next(t for t in TYPES if t.name == machine_type)
+        worker = Worker(self.world, name, matching_type, zone, spot, self.world.clock.now)
         worker.faulty = self.world.rng.random() < 0.05
         self.world.workers[name] = worker
-        if self.world.rng.random() > self.world.boot_fails:
+        if self.world.rng.random() > self.world.boot_failure_chance:
             self.world.clock.after(self.world.rng.uniform(1.0, 8.0), worker.boot)
         return name
 
--- a/tests/world/faults.py
+++ b/tests/world/faults.py
@@ -1,37 +1,43 @@
-"""The switches of the faults that the world itself carries out."""
+"""The settings of the faults that the simulated world injects."""
 
 from __future__ import annotations
 
 
 class Faults:
-    """What fails at present; chances are between 0 and 1. Cuts and outages are elsewhere."""
+    """The faults that are active; probabilities are between 0 and 1.
+
+    Cuts are settings of `Network`, outages of `Store`, and hangs and deaths of each `Worker`.
+    """
 
     def __init__(self) -> None:
         self.flaky = 0.0
-        """Chance that a commit, a direct command or a rental gets no reply, and late effect."""
+        """Probability that a commit, direct command, rental or machine deletion is executed late.
+
+        The caller gets no reply, except that a commit may be executed twice and then answered.
+        """
         self.duplicates = 0.0
-        """Chance that a copy of a heartbeat arrives late, or that a direct command is repeated."""
+        """Probability that a heartbeat or a direct command is delivered a second time later."""
         self.no_direct: set[str] = set()
-        """Workers that direct commands do not reach."""
+        """Addresses of the workers that direct commands do not reach."""
         self.silenced: set[str] = set()
-        """Workers whose heartbeats reach no controller, while direct commands reach them."""
-        self.boot_fails = 0.05
-        """Chance that a machine never boots."""
+        """Workers whose heartbeats reach no controller; direct commands still reach them."""
+        self.boot_failure_chance = 0.05
+        """Probability that a rented machine never boots."""
         self.late_writes = 0.0
-        """Chance that the store does not reply, and carries out the write 2 to 12 s later."""
+        """Probability that the store does not reply, and executes the write 2 to 12 s later."""
         self.slow_store_s = 0.0
-        """Seconds that a reply of the store takes at most."""
+        """Maximum seconds that a store call and its reply take together; 0.0: not slowed."""
         self.slow_scans: dict[str, float] = {}
-        """Seconds by which the reply to a scan of a prefix is delayed."""
+        """Additional delay in seconds of the reply to a scan, by the prefix scanned."""
         self.slow_watches: set[str] = set()
         """Controllers whose watches get no reply."""
         self.cancel_at_end = 0.0
-        """Chance that users cancel a job as its last task ends."""
+        """Probability that a user cancels a job just after its last task has ended."""
         self.cloud_down = False
-        """Whether the cloud answers no call."""
+        """Whether the cloud leaves all calls unanswered."""
 
     def end_faults(self) -> None:
-        """No message or call fails any more; `boot_fails` stays."""
+        """Reset all faults of this class except `boot_failure_chance`."""
         self.flaky = self.duplicates = self.late_writes = 0.0
         self.slow_store_s = self.cancel_at_end = 0.0
         self.slow_scans.clear()
--- a/tests/world/gangs.py
+++ b/tests/world/gangs.py
@@ -1,4 +1,4 @@
-"""How the tasks of a gang wait, run and end together on the workers."""
+"""Gangs on the workers: their tasks wait for each other, run and end together."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Gangs:
-    """Lets the tasks of a gang wait, run and end together."""
+    """Coordinates the tasks of each gang across the workers, and checks how gangs start."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -29,8 +29,8 @@
             if task.job == ref and worker_task.attempt == attempt and worker_task.state != "exited"
         ]
 
-    def gather(self, ref: str, attempt: int) -> None:
-        """They run once all of them wait, and end together at the speed of the slowest."""
+    def start_when_complete(self, ref: str, attempt: int) -> None:
+        """Start the gang once all its tasks are waiting; all tasks then run for the same time."""
         members = self.members(ref, attempt)
         spec = self.world.specs[ref]
         if len(members) < spec.tasks or any(
@@ -39,9 +39,9 @@
             return
         for _, _, worker_task in members:
             worker_task.state, worker_task.since = "running", 0.0
-        self.world.clock.after(spec.estimate_s * 1.5, lambda: self.gang_ends(ref, attempt))
+        self.world.clock.after(spec.estimate_s * 1.5, lambda: self.finish_gang(ref, attempt))
 
-    def gang_ends(self, ref: str, attempt: int) -> None:
+    def finish_gang(self, ref: str, attempt: int) -> None:
         members = [m for m in self.members(ref, attempt) if m[2].state == "running"]
         if len(members) < self.world.specs[ref].tasks or any(
             worker.hung for worker, _, _ in members
@@ -50,9 +50,9 @@
         for _, task, worker_task in members:
             worker_task.state, worker_task.cause = "exited", "done"
             self.world.results.add(task)
-        self.world.users.task_done(members[0][1])
+        self.world.users.task_completed(members[0][1])
 
-    def watch_gangs(self) -> None:
+    def monitor_gangs(self) -> None:
         for ref, spec in self.world.specs.items():
             if spec.shape is not Shape.GANG:
                 continue
@@ -62,33 +62,35 @@
                 for (task, _), worker_task in worker.tasks.items()
                 if task.job == ref
             }:
-                self.watch_gang(spec, self.members(ref, attempt))
-        self.world.clock.after(0.5, self.watch_gangs)
+                self.monitor_gang(spec, self.members(ref, attempt))
+        self.world.clock.after(0.5, self.monitor_gangs)
 
-    def watch_gang(self, spec: JobSpec, members: list[tuple[Worker, TaskId, WorkerTask]]) -> None:
+    def monitor_gang(self, spec: JobSpec, members: list[tuple[Worker, TaskId, WorkerTask]]) -> None:
         present = sum(1 for worker, _, _ in members if not worker.hung)
         for worker, _, worker_task in members:
             if worker.hung:
                 continue
-            waited = self.world.clock.now - worker_task.since
-            if worker_task.state == "waiting" and waited > GANG_WAIT_S:
+            elapsed = self.world.clock.now - worker_task.since
+            if worker_task.state == "waiting" and elapsed > GANG_WAIT_S:
                 worker_task.state, worker_task.cause = "exited", "incomplete"
             elif worker_task.state == "running" and present == spec.tasks:
                 worker_task.since = 0.0
             elif worker_task.state == "running" and not worker_task.since:
                 worker_task.since = self.world.clock.now
-            elif worker_task.state == "running" and waited > GANG_PEER_S:
+            elif worker_task.state == "running" and elapsed > GANG_PEER_S:
                 worker_task.state, worker_task.cause = "exited", "mates_gone"
 
-    def check_gang(self, task: TaskId, attempt: int, spec: JobSpec) -> None:
-        """A task starts once the store has the allocations of all, under one attempt number."""
+    def check_gang_start(self, task: TaskId, attempt: int, spec: JobSpec) -> None:
+        """Raise unless the store holds placements of all tasks, and no other attempt is running."""
         placed: dict[int, int] = {}
-        for item in sorted(self.world.store.listing("work/").items, key=lambda item: item.version):
+        for item in sorted(self.world.store.scan("work/").items, key=lambda item: item.version):
             for ref, _, _, rows in item.value["jobs"]:
                 if ref == spec.ref:
                     placed.update({row[0]: row[1] for row in rows if len(row) > 2})
         if len(placed) < spec.tasks and task not in self.world.results:
-            raise RuleBrokenError(f"a part of a gang: {task} starts, recorded are {placed}")
+            raise RuleBrokenError(
+                f"a part of a gang: {task} starts, but the store only has placements of {placed}"
+            )
         others = {
             worker_task.attempt
             for worker in self.world.workers.values()
@@ -96,4 +98,4 @@
             if t.job == task.job and worker_task.state != "exited"
         }
         if others - {attempt}:
-            raise RuleBrokenError(f"{task} starts as {attempt} beside attempts {others}")
+            raise RuleBrokenError(f"{task} starts as attempt {attempt} despite attempts {others}")
--- a/tests/world/helpers.py
+++ b/tests/world/helpers.py
@@ -1,4 +1,4 @@
-"""Small helpers of the world."""
+"""Helpers that several modules of the simulated world use."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 from crosscleat.core.state.keys import FORMAT
 
 
-def is_of_upgrade(effect: Any) -> bool:
+def accesses_format_keys(effect: Any) -> bool:
+    """Whether the call scans or writes the format keys, which only the new version knows."""
     if isinstance(effect, Commit):
         return any(write.key.startswith(FORMAT) for write in effect.writes)
     return isinstance(effect, Scan) and effect.prefix == FORMAT
 
 
-def void(*_: object) -> None:
-    """Takes any arguments and does nothing: a callback for results that nobody needs."""
+def discard(*_: object) -> None:
+    """Ignore the arguments: a callback for results that are not needed."""
--- a/tests/world/network.py
+++ b/tests/world/network.py
@@ -1,4 +1,4 @@
-"""Messages between two hosts, and the cuts that keep them from arriving."""
+"""Delivery of messages between hosts, and the cuts that prevent it."""
 
 from __future__ import annotations
 
@@ -9,21 +9,24 @@
 
 
 class Network:
-    """Delivers messages between two hosts, or delays, refuses or loses them."""
+    """Delivers messages between two hosts with a random delay, or holds, refuses or drops them."""
 
     def __init__(self, clock: Clock, rng: Random) -> None:
         self._clock = clock
         self._rng = rng
         self._cuts: dict[frozenset[str], str] = {}
         self.one_way_cuts: set[tuple[str, str]] = set()
-        """Pairs of source and target: what the source sends is lost, the other direction works."""
-        self.slow_s = 0.0
+        """Pairs of source and target whose messages are dropped; the opposite direction works."""
+        self.extra_delay_s = 0.0
+        """Maximum additional delay of each message in seconds."""
         self._held: list[tuple[frozenset[str], Callable[[], None]]] = []
 
-    def cut(self, one: str, other: str, mode: str) -> None:
-        self._cuts[frozenset((one, other))] = mode
+    def cut(self, host: str, other_host: str, mode: str) -> None:
+        """Stop messages in both directions; `mode` is "hold" or "reset"."""
+        self._cuts[frozenset((host, other_host))] = mode
 
     def heal(self) -> None:
+        """End all cuts and deliver the messages that were held."""
         self._cuts.clear()
         self.one_way_cuts.clear()
         held, self._held = self._held, []
@@ -31,7 +34,10 @@
             self._clock.after(self._rng.uniform(0.001, 0.05), deliver)
 
     def send(self, source: str, target: str, deliver: Callable[[], None]) -> bool:
-        """Whether it was accepted: then it arrives now, after the cut, or never."""
+        """Send a message; False if it was refused.
+
+        An accepted message arrives after a short delay or when the cut ends, or is lost.
+        """
         if (source, target) in self.one_way_cuts:
             return True
         pair = frozenset((source, target))
@@ -41,8 +47,8 @@
         if mode == "hold":
             self._held.append((pair, deliver))
         else:
-            self._clock.after(self._rng.uniform(0.001, 0.02 + self.slow_s), deliver)
+            self._clock.after(self._rng.uniform(0.001, 0.02 + self.extra_delay_s), deliver)
         return True
 
-    def connected(self, one: str, other: str) -> bool:
-        return frozenset((one, other)) not in self._cuts
+    def connected(self, host: str, other_host: str) -> bool:
+        return frozenset((host, other_host)) not in self._cuts
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -1,4 +1,7 @@
-"""The rules of the protocol, checked whenever one of them could be broken."""
+"""Checks of the protocol's rules.
+
+Where a task starts they are checked for that task, and otherwise periodically.
+"""
 
 from __future__ import annotations
 
@@ -15,14 +18,14 @@
 
 
 class Rules:
-    """The rules of the protocol, checked whenever one of them could be broken."""
+    """Raises `RuleBrokenError` when a rule of the protocol is broken."""
 
     def __init__(self, world: World) -> None:
         self.world = world
 
     def check_start(self, worker: Worker, task: TaskId, spec: JobSpec) -> None:
-        """Raises if a task that starts on the worker breaks a rule."""
-        self.world.started += 1
+        """Raise if a task that starts on the worker breaks a rule."""
+        self.world.start_count += 1
         elsewhere = [
             w.id
             for w in self.world.workers.values()
@@ -39,29 +42,29 @@
             raise RuleBrokenError(f"ran_cancelled: {task} starts on {worker.id}")
         if spec.ref not in self.world.accepted:
             raise RuleBrokenError(f"never accepted: {task}")
-        self.check_place(worker, task, spec)
+        self.check_placement(worker, task, spec)
         self.check_quota(spec)
 
-    def check_place(self, worker: Worker, task: TaskId, spec: JobSpec) -> None:
-        """Raises if the job may not have a task there: machine type, zone, spot or not."""
+    def check_placement(self, worker: Worker, task: TaskId, spec: JobSpec) -> None:
+        """Raise if the job's constraints on type, zone, spread or spot exclude the machine."""
         places = [
             w.zone
             for w in self.world.workers.values()
             for (t, _), worker_task in w.tasks.items()
             if t.job == task.job and worker_task.state != "exited"
         ]
-        wrong = (
+        violated = (
             (spec.types is not None and worker.machine_type.name not in spec.types)
             or (spec.zone is not None and worker.zone != spec.zone)
             or (worker.spot and not spec.spot)
             or (spec.one_zone and any(zone != worker.zone for zone in places))
             or (spec.spread and places.count(worker.zone) + 1 > spec.per_zone())
         )
-        if wrong:
+        if violated:
             raise RuleBrokenError(f"wrong_place: {task} on {worker.id}, others in {places}")
 
     def check_quota(self, spec: JobSpec) -> None:
-        """Raises if one more task of the job takes its team over its quota."""
+        """Raise if one more task of the job would exceed its team's quota."""
         used = spec.cpus + sum(
             self.world.specs[t.job].cpus
             for w in self.world.workers.values()
@@ -72,59 +75,69 @@
             raise RuleBrokenError(f"quota: {spec.team} uses {used}")
 
     def check_running(self) -> None:
+        """Every 0.5 s: raise if a cancelled task is overdue, or a record is unreadable.
+
+        The old version cannot read placement records with a "span".
+        """
         for key, (value, _, _) in self.world.store.items.items():
             if self.world.old_version and key.startswith("work/") and "span" in value:
-                raise RuleBrokenError(f"{key}: a version that may lead can't read it")
+                raise RuleBrokenError(f"{key}: controllers of the old version cannot read it")
         for worker in self.world.workers.values():
             for (task, _), worker_task in worker.tasks.items():
                 confirmed_at = self.world.cancel_confirmed_at.get(task.job)
-                late = confirmed_at is not None and self.world.clock.now > confirmed_at + CANCEL_S
-                if worker_task.state != "exited" and late:
+                overdue = (
+                    confirmed_at is not None and self.world.clock.now > confirmed_at + CANCEL_S
+                )
+                if worker_task.state != "exited" and overdue:
                     raise RuleBrokenError(f"ran_cancelled: {task} is on {worker.id}")
         self.world.clock.after(0.5, self.check_running)
 
-    def watch_waiting(self, since: dict[str, float]) -> None:
-        """From now on nothing fails: no job waits long while a machine has free capacity for it."""
+    def check_waiting(self, since: dict[str, float]) -> None:
+        """Every second, once all faults have ended: raise if a job waits long for no reason.
+
+        That is, a machine has had free capacity for one of its tasks for longer than `MAX_WAIT_S`.
+        `since` maps each job that waits so to the start of its wait.
+        """
         for ref, spec in self.world.specs.items():
-            waits = ref in self.world.accepted and ref not in self.world.cancel_requested
-            if waits and spec.job_class != "broken" and self.has_free_capacity(spec):
+            is_waiting = ref in self.world.accepted and ref not in self.world.cancel_requested
+            if is_waiting and spec.job_class != "broken" and self.has_free_capacity(spec):
                 since.setdefault(ref, self.world.clock.now)
                 if self.world.clock.now - since[ref] > MAX_WAIT_S:
                     raise RuleBrokenError(f"waits: {ref} while a machine has free capacity for it")
             else:
                 since.pop(ref, None)
-        self.world.clock.after(1.0, lambda: self.watch_waiting(since))
+        self.world.clock.after(1.0, lambda: self.check_waiting(since))
 
     def has_free_capacity(self, spec: JobSpec) -> bool:
-        """Whether a task of the job waits although it fits a machine that is up."""
-        held = [
+        """Whether a task of the job is waiting although it would fit on a running machine."""
+        active = [
             (w, t)
             for w in self.world.workers.values()
             if not w.dead
             for (t, _), task in w.tasks.items()
             if task.state != "exited"
         ]
-        placed = {t for _, t in held}
+        placed = {t for _, t in active}
         if all(
             TaskId(spec.ref, n) in placed or TaskId(spec.ref, n) in self.world.results
             for n in range(spec.tasks)
         ):
             return False
-        team = sum(
+        team_cpus = sum(
             self.world.specs[t.job].cpus
-            for _, t in held
+            for _, t in active
             if self.world.specs[t.job].team == spec.team
         )
-        if team + spec.cpus > TEAMS[spec.team].cpus_max:
+        if team_cpus + spec.cpus > TEAMS[spec.team].cpus_max:
             return False
-        zones = [w.zone for w, t in held if t.job == spec.ref]
+        zones = [w.zone for w, t in active if t.job == spec.ref]
         return any(
             w.up and not w.dead and w.reclaimed_at is None
             and (spec.spot or not w.spot)
             and spec.zone in (None, w.zone)
             and not (spec.one_zone and any(zone != w.zone for zone in zones))
             and not (spec.spread and zones.count(w.zone) >= spec.per_zone())
-            and spec.cpus + sum(self.world.specs[t.job].cpus for other, t in held if other is w)
+            and spec.cpus + sum(self.world.specs[t.job].cpus for other, t in active if other is w)
             <= w.machine_type.cpus
             for w in self.world.workers.values()
         )  # fmt: skip
--- a/tests/world/scenario.py
+++ b/tests/world/scenario.py
@@ -1,4 +1,4 @@
-"""The deployment that the world simulates, and jobs for it."""
+"""The simulated deployment, its time limits, and a factory of jobs for it."""
 
 from __future__ import annotations
 
@@ -24,13 +24,15 @@
 GANG_PEER_S = 3.0
 TICK_S = 0.2
 MAX_WAIT_S = 90.0
+"""Maximum time in seconds that a job may wait, without faults, while a machine has room for it."""
 USER_TIMEOUT_S = 2.0
 SUBMIT_TIMEOUT_S = 5.0
 STORE_TIMEOUT_S: dict[type, float] = {
     Commit: 2.0, Read: 1.5, Scan: 10.0, GrantLease: 2.0, RenewLease: 1.0, RevokeLease: 2.0,
 }  # fmt: skip
-"""Seconds for which a reply of the store is awaited."""
+"""Maximum time in seconds that a controller waits for a reply of the store, by type of call."""
 REGION = "region"
+"""The network's name for the host of both the store and the cloud."""
 ZONES = ("a", "b")
 MEMBERS = ("c0", "c1", "c2")
 MEMBER_ZONES = ("a", "b", "c")
@@ -48,10 +50,11 @@
 
 
 class RuleBrokenError(AssertionError):
-    """A controller broke a rule of the protocol; the text begins with the rule's name."""
+    """A controller broke a rule of the protocol; most messages begin with the rule's name."""
 
 
 def job(ref: str, **changes: Any) -> JobSpec:
+    """A job with default values, apart from the fields given."""
     fields: dict[str, Any] = {
         "ref": JobRef(ref), "job_class": "plain", "team": Team("red"),
         "priority": Priority.NORMAL, "tasks": 3, "cpus": 2.0, "gpus": 0.0, "memory_gb": 2.0,
@@ -64,7 +67,7 @@
 
 LIMITS = (16.0, 8)
 NEXT_LIMITS = (2.0, 5)
-"""KiB of a value and writes of a transaction: now, and after the announced change."""
+"""Maximum value size in KiB and writes per transaction: now, and after the announced change."""
 
 
 def deployment(member: str, limits: tuple[float, int] = LIMITS) -> Deployment:
--- a/tests/world/store_calls.py
+++ b/tests/world/store_calls.py
@@ -1,4 +1,4 @@
-"""The calls of controllers to the key-value store, over a network that fails."""
+"""The controllers' calls to the key-value store, with delays, lost replies and late writes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     WatchResult,
 )
 
-from .helpers import is_of_upgrade, void
+from .helpers import accesses_format_keys, discard
 from .scenario import REGION, STORE_TIMEOUT_S
 
 if TYPE_CHECKING:
@@ -31,17 +31,17 @@
 
 
 class StoreCalls:
-    """The calls of controllers to the key-value store, over a network that fails."""
+    """Executes the controllers' calls to the store, subject to the faults that are active."""
 
     def __init__(self, world: World) -> None:
         self.world = world
 
     def call(self, member: str, effect: Any, reply: Callable[..., None]) -> None:
         delay = self.world.rng.uniform(0.002, 0.02)
-        if member in self.world.old_version and is_of_upgrade(effect):
-            # The old version neither writes such keys nor reads them.
-            listing = ScanResult([], Version(self.world.store.revision))
-            result = listing if isinstance(effect, Scan) else Unanswered()
+        if member in self.world.old_version and accesses_format_keys(effect):
+            # The old version does not know the format keys: it neither writes nor reads them.
+            scan_result = ScanResult([], Version(self.world.store.revision))
+            result = scan_result if isinstance(effect, Scan) else Unanswered()
             self.world.clock.after(delay, lambda: reply(result))
             return
         if isinstance(effect, Watch):
@@ -54,9 +54,9 @@
             not isinstance(effect, (Read, Scan))
             and self.world.rng.random() < self.world.late_writes
         ):
-            # Also the end or the renewal of a lease, harmless only while the caller owns it.
+            # This includes revoking and renewing a lease, harmless only while the caller owns it.
             self.world.clock.after(
-                self.world.rng.uniform(2.0, 12.0), lambda: void(self.serve(effect))
+                self.world.rng.uniform(2.0, 12.0), lambda: discard(self.serve(effect))
             )
             self.world.clock.after(1.0, lambda: reply(Unanswered()))
             return
@@ -76,7 +76,7 @@
         delay_s: float,
         reply_delay_s: float,
     ) -> None:
-        """The call reaches the store, if anything does; its reply may come too late."""
+        """Execute the call if the store can be reached; its reply may arrive after the timeout."""
         if not self.reaches_store(member):
             timeout = 0.0 if getattr(effect, "for_user", False) else 0.5
             self.world.clock.after(timeout, lambda: reply(Unanswered()))
@@ -84,7 +84,7 @@
         timeout_s = STORE_TIMEOUT_S[type(effect)]
         result = self.serve(effect)
         if delay_s + reply_delay_s > timeout_s:
-            # It was carried out, but nobody waits for the reply any more.
+            # The call was executed, but the caller has stopped waiting for the reply.
             self.world.clock.after(max(0.0, timeout_s - delay_s), lambda: reply(Unanswered()))
         else:
             self.world.clock.after(reply_delay_s, lambda: reply(result))
@@ -93,10 +93,13 @@
         return self.world.store.serves(member) and self.world.network.connected(member, REGION)
 
     def flaky_commit(self, effect: Commit, reply: Callable[..., None]) -> None:
-        """No reply: carried out now, or up to a minute later, and perhaps retried meanwhile."""
-        late = self.world.rng.choice((0.0, 0.3, 5.0, 60.0))
-        # The store can carry out what was delayed only after its outage.
-        self.world.clock.after(late, lambda: self.world.store.commit(effect, True))
+        """Execute the commit now or up to a minute later.
+
+        Either the caller gets no reply, or a retry of the same commit is executed and answered.
+        """
+        delay = self.world.rng.choice((0.0, 0.3, 5.0, 60.0))
+        # The store can execute a delayed call only after its outage.
+        self.world.clock.after(delay, lambda: self.world.store.commit(effect, True))
         if self.world.rng.random() < 0.5:
             self.world.clock.after(1.0, lambda: reply(Unanswered()))
         else:
@@ -112,7 +115,7 @@
                     self.world.store.item(effect.key), Version(self.world.store.revision)
                 )
             case Scan():
-                return self.world.store.listing(effect.prefix)
+                return self.world.store.scan(effect.prefix)
             case GrantLease():
                 return LeaseId(self.world.store.grant(effect.life_s))
             case RenewLease():
@@ -122,7 +125,10 @@
                 return self.world.store.revoke(effect.lease)
         raise TypeError(effect)
 
-    def watch(self, member: str, effect: Watch, reply: Callable[..., None], left: float) -> None:
+    def watch(
+        self, member: str, effect: Watch, reply: Callable[..., None], remaining_s: float
+    ) -> None:
+        """Check for changes every 0.05 s until there are some or the remaining time is over."""
         changes = (
             self.world.store.changes_after(effect.prefix, effect.after)
             if self.world.store.serves(member)
@@ -130,10 +136,12 @@
         )
         if not self.world.network.connected(member, REGION) or member in self.world.slow_watches:
             self.world.clock.after(0.5, lambda: reply(Unanswered()))
-        elif not self.world.store.serves(member) and left <= 0.0:
+        elif not self.world.store.serves(member) and remaining_s <= 0.0:
             reply(Unanswered())
-        elif changes or left <= 0.0:
+        elif changes or remaining_s <= 0.0:
             reply(WatchResult(Version(self.world.store.revision), changes))
         else:
-            pause = min(0.05, max(0.01, left))
-            self.world.clock.after(pause, lambda: self.watch(member, effect, reply, left - pause))
+            pause = min(0.05, max(0.01, remaining_s))
+            self.world.clock.after(
+                pause, lambda: self.watch(member, effect, reply, remaining_s - pause)
+            )
--- a/tests/world/users.py
+++ b/tests/world/users.py
@@ -1,4 +1,4 @@
-"""Users: they submit, query and cancel jobs, and remember each response."""
+"""Simulated users, who submit, query and cancel jobs and check each response."""
 
 from __future__ import annotations
 
@@ -16,138 +16,149 @@
 
 
 class Users:
-    """Users: they submit, query and cancel jobs, and remember each response."""
+    """Sends the users' requests to random controllers and checks the responses.
+
+    A response after the timeout of its request is ignored, as its user no longer waits.
+    """
 
     def __init__(self, world: World) -> None:
         self.world = world
 
     def submit(self, spec: JobSpec, tries: int = 20) -> None:
+        """Submit a job, and again with the same reference until it is accepted."""
         self.world.specs[spec.ref] = spec
-        sent = self.world.clock.now
+        sent_at = self.world.clock.now
 
-        def answered(answer: Response) -> None:
-            if self.world.clock.now - sent > SUBMIT_TIMEOUT_S:
+        def on_response(response: Response) -> None:
+            if self.world.clock.now - sent_at > SUBMIT_TIMEOUT_S:
                 return
-            if answer.status in (200, 201):
+            if response.status in (200, 201):
                 self.world.accepted.add(spec.ref)
-                if answer.body["status"] in ("done", "aborted"):
-                    self.receive_final_status(spec.ref, answer.body["status"])
-            elif answer.status in (400, 422):
-                raise RuleBrokenError(f"forgotten or refused: {spec.ref} gets {answer.status}")
+                if response.body["status"] in ("done", "aborted"):
+                    self.record_final_status(spec.ref, response.body["status"])
+            elif response.status in (400, 422):
+                raise RuleBrokenError(
+                    f"forgotten or refused: {spec.ref} gets status {response.status}"
+                )
 
         member = self.world.rng.choice(MEMBERS)
-        # Started tasks are checked against this: the store may hold the job before the user knows.
-        self.accepted_when_stored(spec.ref)
-        self.world.request(member, lambda n: SubmitJob(n, spec), answered)
+        # Its tasks may start as soon as the store holds the job, before the user gets the response.
+        self.accept_once_stored(spec.ref)
+        self.world.request(member, lambda n: SubmitJob(n, spec), on_response)
         if tries > 0:
             self.world.clock.after(
-                self.world.rng.uniform(1.0, 3.0), lambda: self.submit_again(spec, tries)
+                self.world.rng.uniform(1.0, 3.0), lambda: self.resubmit_unless_accepted(spec, tries)
             )
 
-    def submit_again(self, spec: JobSpec, tries: int) -> None:
+    def resubmit_unless_accepted(self, spec: JobSpec, tries: int) -> None:
         if spec.ref not in self.world.accepted or self.world.rng.random() < 0.05:
             self.submit(spec, tries - 1)
 
-    def accepted_when_stored(self, ref: str) -> None:
+    def accept_once_stored(self, ref: str) -> None:
+        """Count the job as accepted as soon as the store holds it; checks every 0.01 s."""
         if f"live/{ref}" in self.world.store.items:
             self.world.accepted.add(ref)
         elif ref not in self.world.accepted:
-            self.world.clock.after(0.01, lambda: self.accepted_when_stored(ref))
+            self.world.clock.after(0.01, lambda: self.accept_once_stored(ref))
 
     def query(self, ref: str) -> None:
-        # As of now: a query in flight while the job is accepted may still find nothing.
-        known = ref in self.world.accepted
-        sent = self.world.clock.now
+        # Recorded before the query: one sent before the job is accepted may rightly get a 404.
+        was_accepted = ref in self.world.accepted
+        sent_at = self.world.clock.now
 
-        def answered(answer: Response) -> None:
-            if self.world.clock.now - sent > USER_TIMEOUT_S:
+        def on_response(response: Response) -> None:
+            if self.world.clock.now - sent_at > USER_TIMEOUT_S:
                 return
-            if answer.status in (200, 404):
+            if response.status in (200, 404):
                 self.world.last_answered_at[ref] = self.world.clock.now
-            if answer.status == 404 and known:
+            if response.status == 404 and was_accepted:
                 raise RuleBrokenError(f"forgotten: {ref}")
-            if answer.status == 200:
+            if response.status == 200:
                 if ref not in self.world.specs:
                     raise RuleBrokenError(f"invented: {ref}")
-                self.receive_status(ref, answer.body["status"], sent)
+                self.check_status(ref, response.body["status"], sent_at)
 
         self.world.request(
-            self.world.rng.choice(MEMBERS), lambda n: QueryJob(n, JobRef(ref)), answered
+            self.world.rng.choice(MEMBERS), lambda n: QueryJob(n, JobRef(ref)), on_response
         )
 
     def submit_invalid(self, spec: JobSpec | None, ref: str, status: int) -> None:
-        """A submission that cannot be accepted: it fits no machine, or lacks a field."""
+        """Submit a job that fits no machine or lacks a field, and must be refused with `status`."""
 
-        def answered(answer: Response) -> None:
+        def on_response(response: Response) -> None:
             expected = 200 if ref in self.world.accepted else status
-            if answer.status not in (503, expected):
-                raise RuleBrokenError(f"{ref} gets {answer.status}, not {status}")
+            if response.status not in (503, expected):
+                raise RuleBrokenError(f"{ref} gets status {response.status}, not {status}")
 
-        number = JobRef(ref)
+        job_ref = JobRef(ref)
         self.world.request(
             self.world.rng.choice(MEMBERS),
-            lambda n: RejectJob(n, number, status) if spec is None else SubmitJob(n, spec),
-            answered,
+            lambda n: RejectJob(n, job_ref, status) if spec is None else SubmitJob(n, spec),
+            on_response,
         )
 
-    def task_done(self, task: TaskId) -> None:
-        """A task has completed; users may cancel its job at this moment."""
-        missing = any(
+    def task_completed(self, task: TaskId) -> None:
+        """Note that a task has completed; after the last one a user may cancel the job."""
+        unfinished = any(
             TaskId(task.job, n) not in self.world.results
             for n in range(self.world.specs[task.job].tasks)
         )
-        if not missing and self.world.rng.random() < self.world.cancel_at_end:
+        if not unfinished and self.world.rng.random() < self.world.cancel_at_end:
             self.world.clock.after(
                 self.world.rng.choice((0.0, 0.02, 0.1, 0.4)), lambda: self.cancel(task.job)
             )
 
     def poll_for(self, ref: str, seconds: float) -> None:
-        """Queries the job every five seconds for a while."""
+        """Query the job every five seconds for this time."""
         self.query(ref)
         if seconds > 5.0:
             self.world.clock.after(5.0, lambda: self.poll_for(ref, seconds - 5.0))
 
     def cancel(self, ref: str, tries: int = 30) -> None:
+        """Cancel a job, and again every second until its final status is known."""
         self.world.cancel_requested.add(ref)
-        sent = self.world.clock.now
+        sent_at = self.world.clock.now
 
-        def answered(answer: Response) -> None:
-            if self.world.clock.now - sent > USER_TIMEOUT_S:
+        def on_response(response: Response) -> None:
+            if self.world.clock.now - sent_at > USER_TIMEOUT_S:
                 return
-            if answer.status == 200:
-                assert answer.body["status"] in ("done", "aborted")
-                self.receive_final_status(ref, answer.body["status"])
+            if response.status == 200:
+                assert response.body["status"] in ("done", "aborted")
+                self.record_final_status(ref, response.body["status"])
 
         self.world.request(
-            self.world.rng.choice(self.world.serving), lambda n: CancelJob(n, JobRef(ref)), answered
+            self.world.rng.choice(self.world.cancellation_members),
+            lambda n: CancelJob(n, JobRef(ref)),
+            on_response,
         )
         if tries > 0 and ref not in self.world.final_statuses:
-            self.world.clock.after(1.0, lambda: self.cancel_again(ref, tries - 1))
+            self.world.clock.after(1.0, lambda: self.cancel_unless_final(ref, tries - 1))
 
-    def cancel_again(self, ref: str, tries: int) -> None:
+    def cancel_unless_final(self, ref: str, tries: int) -> None:
         if ref not in self.world.final_statuses:
             self.cancel(ref, tries)
 
-    def receive_status(self, ref: str, status: str, sent: float) -> None:
+    def check_status(self, ref: str, status: str, sent_at: float) -> None:
         if status in ("done", "aborted"):
-            self.receive_final_status(ref, status)
-        elif self.world.final_since.get(ref, sent) < sent:
-            # A slow controller may answer an earlier query with the status of that time.
+            self.record_final_status(ref, status)
+        elif self.world.final_since.get(ref, sent_at) < sent_at:
+            # Only queries sent after the final status was received count: a slow controller may
+            # answer an earlier one with an outdated status.
             raise RuleBrokenError(
                 f"went_back: {ref} was {self.world.final_statuses[ref]}, is {status}"
             )
 
-    def receive_final_status(self, ref: str, status: str) -> None:
-        before = self.world.final_statuses.setdefault(ref, status)
+    def record_final_status(self, ref: str, status: str) -> None:
+        previous = self.world.final_statuses.setdefault(ref, status)
         self.world.final_since.setdefault(ref, self.world.clock.now)
-        if before != status:
-            raise RuleBrokenError(f"went_back: {ref} was {before}, is {status}")
+        if previous != status:
+            raise RuleBrokenError(f"went_back: {ref} was {previous}, is {status}")
         if status == "aborted":
             if ref not in self.world.cancel_requested:
-                raise RuleBrokenError(f"went_back: {ref} cancelled by nobody")
+                raise RuleBrokenError(f"went_back: {ref} is aborted, but was never cancelled")
             self.world.cancel_confirmed_at.setdefault(ref, self.world.clock.now)
         else:
             tasks = self.world.specs[ref].tasks
             missing = [n for n in range(tasks) if TaskId(JobRef(ref), n) not in self.world.results]
             if missing:
-                raise RuleBrokenError(f"not_done: {ref} lacks {missing}")
+                raise RuleBrokenError(f"not_done: {ref} is done without tasks {missing}")
--- a/tests/world/worker.py
+++ b/tests/world/worker.py
@@ -1,4 +1,4 @@
-"""One machine and its worker, as the protocol describes them."""
+"""A simulated machine and the worker on it, as the protocol describes them."""
 
 from __future__ import annotations
 
@@ -26,18 +26,21 @@
 
 @dataclass
 class WorkerTask:
-    """One attempt that a worker reports."""
+    """An attempt at a task, as the worker reports it in heartbeats."""
 
     attempt: int
     state: str
     cause: str | None = None
     since: float = 0.0
-    """When it began to wait for the other members of its gang, or lost one; 0.0 for neither."""
+    """When it began to wait for its gang, or when a peer of its gang was lost; otherwise 0.0."""
 
 
 @dataclass
 class Worker:
-    """One machine and its worker, as the protocol describes them."""
+    """A machine and the worker on it: heartbeats, lease, orders and the tasks' states.
+
+    `token` is the highest one received; a response or command with a lower one is ignored.
+    """
 
     world: World
     id: str
@@ -67,18 +70,19 @@
         self.watch_lease()
 
     def watch_lease(self) -> None:
+        """When the lease expires, drop all tasks and begin a new agent epoch."""
         if self.dead:
             return
-        left = self.lease_renewed_at + LEASE_S - self.world.clock.now
-        if left <= 1e-9:
+        remaining_s = self.lease_renewed_at + LEASE_S - self.world.clock.now
+        if remaining_s <= 1e-9:
             self.tasks.clear()
             self.agent_epoch += 1
             self.lease_renewed_at = self.world.clock.now
-            left = LEASE_S
-        self.world.clock.after(left, self.watch_lease)
+            remaining_s = LEASE_S
+        self.world.clock.after(remaining_s, self.watch_lease)
 
     def restart(self) -> None:
-        """Power lost and back at once: its agent epochs begin at 1 again."""
+        """Lose power and boot immediately: nothing is kept, and agent epochs begin at 1 again."""
         self.tasks.clear()
         self.agent_epoch = 1
         self.sequence = 0
@@ -95,23 +99,23 @@
     def hang(self, seconds: float) -> None:
         self.hung_until = self.world.clock.now + seconds
 
-    def when_awake(self, act: Callable[[], None]) -> None:
-        """Runs the action now, or when the machine stops hanging; a dead one never does."""
+    def run_unless_hung(self, action: Callable[[], None]) -> None:
+        """Run the action now, or when the machine stops hanging; a dead machine never runs it."""
         if self.dead:
             return
         if self.hung:
             self.world.clock.after(self.hung_until - self.world.clock.now + 1e-6,
-                                   lambda: self.when_awake(act))  # fmt: skip
+                                   lambda: self.run_unless_hung(action))  # fmt: skip
         else:
-            act()
+            action()
 
     def heartbeat(self) -> Heartbeat:
         self.sequence += 1
-        notice = self.reclaimed_at
+        reclaimed_at = self.reclaimed_at
         return Heartbeat(
             MachineId(self.id), self.id, self.machine_type.name, Zone(self.zone), self.spot,
             HeartbeatId(AgentEpoch(self.agent_epoch), self.sequence), self.token,
-            None if notice is None else max(0.0, notice - self.world.clock.now),
+            None if reclaimed_at is None else max(0.0, reclaimed_at - self.world.clock.now),
             tuple(TaskStatus(task, Attempt(attempt), t.state, t.cause)
                   for (task, attempt), t in self.tasks.items()),
         )  # fmt: skip
@@ -120,28 +124,33 @@
         if self.dead:
             return
         if self.hung:
-            self.when_awake(self.send_heartbeat)
+            self.run_unless_hung(self.send_heartbeat)
             return
         self.heartbeat_number += 1
         number = self.heartbeat_number
-        agent_epoch, sent = self.agent_epoch, self.world.clock.now
+        agent_epoch, sent_at = self.agent_epoch, self.world.clock.now
         heartbeat = self.heartbeat()
         member = self.world.members[self.controller_index % len(MEMBERS)]
 
         def respond(response: HeartbeatResponse | None) -> None:
-            self.when_awake(lambda: self.receive_response(number, agent_epoch, sent, response))
+            self.run_unless_hung(
+                lambda: self.receive_response(number, agent_epoch, sent_at, response)
+            )
 
         self.world.worker_calls.deliver_heartbeat(self.id, member, heartbeat, respond)
-        self.world.clock.after(4.0, lambda: self.receive_response(number, agent_epoch, sent, None))
+        self.world.clock.after(
+            4.0, lambda: self.receive_response(number, agent_epoch, sent_at, None)
+        )
 
     def receive_response(
-        self, number: int, agent_epoch: int, sent: float, response: HeartbeatResponse | None
+        self, number: int, agent_epoch: int, sent_at: float, response: HeartbeatResponse | None
     ) -> None:
+        """Process the response to the latest heartbeat; None if there was none in time."""
         if self.dead or number != self.heartbeat_number:
             return
         now = self.world.clock.now
         self.heartbeat_number += 1
-        if response is None or now - sent >= 4.0:
+        if response is None or now - sent_at >= 4.0:
             self.controller_index += 1
             self.world.clock.after(1.0, self.send_heartbeat)
             return
@@ -151,11 +160,12 @@
             if response.token > self.token:
                 pause = 0.5
             self.token = response.token
-            self.lease_renewed_at = max(self.lease_renewed_at, sent)
+            self.lease_renewed_at = max(self.lease_renewed_at, sent_at)
             self.execute(response.orders)
         self.world.clock.after(pause, self.send_heartbeat)
 
-    def direct(self, call: DirectCommand) -> Heartbeat:
+    def execute_direct_command(self, call: DirectCommand) -> Heartbeat:
+        """Execute the orders unless their token or agent epoch is outdated; return the status."""
         if call.token >= self.token and call.agent_epoch == self.agent_epoch:
             self.token = call.token
             self.execute(call.orders)
@@ -184,35 +194,36 @@
         if spec is None or task.number >= spec.tasks:
             self.tasks[key] = WorkerTask(attempt, "exited", "no_such")
             return
-        at_work = [t for t, worker_task in self.tasks.items() if worker_task.state != "exited"]
-        used = sum(self.world.specs[t.job].cpus for t, _ in at_work)
-        if any(t == task for t, _ in at_work):
+        active = [t for t, worker_task in self.tasks.items() if worker_task.state != "exited"]
+        used = sum(self.world.specs[t.job].cpus for t, _ in active)
+        if any(t == task for t, _ in active):
             self.tasks[key] = WorkerTask(attempt, "exited", "busy")
         elif used + spec.cpus > self.machine_type.cpus:
             self.tasks[key] = WorkerTask(attempt, "exited", "no_room")
         else:
             self.world.rules.check_start(self, task, spec)
             if spec.shape is Shape.GANG:
-                self.world.gangs.check_gang(task, attempt, spec)
+                self.world.gangs.check_gang_start(task, attempt, spec)
             worker_task = self.tasks[key] = WorkerTask(attempt, "fetching")
-            self.world.clock.after(0.5, lambda: self.step_task(key, worker_task))
+            self.world.clock.after(0.5, lambda: self.advance_task(key, worker_task))
 
-    def step_task(self, key: tuple[TaskId, int], worker_task: WorkerTask) -> None:
+    def advance_task(self, key: tuple[TaskId, int], worker_task: WorkerTask) -> None:
+        """Move a task to its next state: from fetching to waiting or running, then to exited."""
         if self.dead or self.tasks.get(key) is not worker_task or worker_task.state == "exited":
             return
         if self.hung:
-            self.when_awake(lambda: self.step_task(key, worker_task))
+            self.run_unless_hung(lambda: self.advance_task(key, worker_task))
             return
         spec = self.world.specs[key[0].job]
         if worker_task.state == "fetching" and key[0] not in self.world.results:
             if spec.shape is Shape.GANG:
                 worker_task.state, worker_task.since = "waiting", self.world.clock.now
-                self.world.gangs.gather(key[0].job, worker_task.attempt)
+                self.world.gangs.start_when_complete(key[0].job, worker_task.attempt)
                 return
             worker_task.state = "running"
             speed = self.world.rng.uniform(0.5, 1.5)
             self.world.clock.after(
-                spec.estimate_s * speed, lambda: self.step_task(key, worker_task)
+                spec.estimate_s * speed, lambda: self.advance_task(key, worker_task)
             )
             return
         worker_task.state = "exited"
@@ -221,4 +232,4 @@
         else:
             worker_task.cause = "done"
             self.world.results.add(key[0])
-            self.world.users.task_done(key[0])
+            self.world.users.task_completed(key[0])
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -1,4 +1,4 @@
-"""The state of the world, its controllers' processes, and the end of a simulated day."""
+"""The simulated world: shared state, controller processes, and the final checks of a day."""
 
 from __future__ import annotations
 
@@ -32,25 +32,27 @@
 
 @dataclass
 class Process:
-    """One run of a controller, from its start to its crash."""
+    """A controller process, from its start to its crash."""
 
     controller: Controller
     alive: bool = True
     drift: float = 1.0
+    """Rate of its clock relative to the simulated clock."""
     free_at: float = 0.0
-    """Until this time it is frozen, or busy with earlier inputs."""
+    """The time until which it is frozen, or busy with earlier inputs."""
     cost_s: float = 0.0
-    """Seconds that it takes for each input."""
+    """Processing time of each input in seconds."""
     stalls_s: float = 0.0
-    """Seconds for which it freezes after its next decision, before that is carried out."""
+    """Seconds for which it freezes after its next step with effects, before these are executed."""
     requests: dict[int, Callable[[Any], None]] = field(default_factory=dict)
+    """Callbacks of the requests that have no response yet, by the number of the request."""
 
 
 class World(Faults):
-    """What all of its parts share, and the switches of its faults."""
+    """The state that all parts of the simulation share, and the fault settings."""
 
     def __init__(self, seed: int, upgrade: bool = False) -> None:
-        """With `upgrade` all controllers begin as the old version, under the present limits."""
+        """With `upgrade` all controllers start as the old version, with the old store limits."""
         super().__init__()
         self.rng = Random(seed)
         self.old_version: set[str] = set(MEMBERS) if upgrade else set()
@@ -59,16 +61,18 @@
         self.network = Network(self.clock, self.rng)
         self.store = Store(self.clock)
         self.members = list(MEMBERS)
-        self.serving = list(MEMBERS)
+        self.cancellation_members = list(MEMBERS)
         """Controllers to which users send cancellations."""
         self.workers: dict[str, Worker] = {}
         self.specs: dict[str, JobSpec] = {}
         self.results: set[TaskId] = set()
         self.accepted: set[str] = set()
         self.cancel_confirmed_at: dict[str, float] = {}
+        """When a user first received the status "aborted" of the job."""
         self.cancel_requested: set[str] = set()
         self.final_statuses: dict[str, str] = {}
         self.final_since: dict[str, float] = {}
+        """When a user first received the final status of the job."""
         self.last_answered_at: dict[str, float] = {}
         """When a query of the job was last answered."""
         self.cloud = Cloud(self)
@@ -79,23 +83,25 @@
         self.users = Users(self)
         self.gangs = Gangs(self)
         self.rentals: dict[str, list[str]] = {}
-        self.started = 0
-        self._numbers = itertools.count(1)
+        """Machines by the name of their rental; a repeated rental gets the same ones."""
+        self.start_count = 0
+        """Number of tasks that have started on workers, repetitions included."""
+        self._request_numbers = itertools.count(1)
         self.processes: dict[str, Process | None] = dict.fromkeys(MEMBERS)
         for member in MEMBERS:
             self.start_controller(member)
         self.clock.after(0.5, self.rules.check_running)
-        self.clock.after(0.5, self.gangs.watch_gangs)
+        self.clock.after(0.5, self.gangs.monitor_gangs)
 
     def cut_zone(self, zone: str, mode: str) -> None:
-        """No message passes between the zone and the outside; inside it all of them do."""
-        inside = [m for m, home in zip(MEMBERS, MEMBER_ZONES, strict=True) if home == zone]
-        inside += [w.id for w in self.workers.values() if w.zone == zone]
+        """Cut the zone off from all other hosts; messages within the zone still pass."""
+        hosts = [m for m, home in zip(MEMBERS, MEMBER_ZONES, strict=True) if home == zone]
+        hosts += [w.id for w in self.workers.values() if w.zone == zone]
         others = [*MEMBERS, *self.workers, REGION]
-        for one in inside:
+        for host in hosts:
             for other in others:
-                if other not in inside:
-                    self.network.cut(one, other, mode)
+                if other not in hosts:
+                    self.network.cut(host, other, mode)
 
     # Controllers
 
@@ -123,17 +129,17 @@
         return [m for m, p in self.processes.items() if p and p.controller.election.leading]
 
     def end_leader(self, back_s: float) -> None:
-        """Whoever leads, if anyone does, crashes and comes back."""
+        """Crash the current leader, if there is one; it restarts after `back_s`."""
         for member in self.leading():
             self.crash(member, back_s)
 
     def upgrade(self, member: str, back_s: float) -> None:
-        """It restarts with the new version; a crash before this call leaves it the old one."""
+        """Restart the controller with the new version; after a mere crash it keeps the old one."""
         self.old_version.discard(member)
         self.crash(member, back_s)
 
     def drop_limits(self) -> None:
-        """The new limits apply from now on, if all controllers have the new version."""
+        """Apply the new store limits from now on, if all controllers have the new version."""
         if not self.old_version:
             self.store.limits = self.next_limits
 
@@ -145,17 +151,17 @@
     def tick(self, member: str, process: Process) -> None:
         if process.alive:
             self.deliver(member, process, Tick())
-            # Timers that elapsed while it was frozen or busy fire once.
+            # All timers that expired while it was frozen or busy fire in one tick.
             pause = max(TICK_S, process.free_at - self.clock.now)
             self.clock.after(pause, lambda: self.tick(member, process))
 
     def deliver(self, member: str, process: Process, event: Any) -> None:
-        """An input, processed later if the controller is frozen or busy; the order is kept."""
+        """Process an input now, or in order once the controller is no longer frozen or busy."""
         if process.cost_s or self.clock.now < process.free_at:
-            begins = max(self.clock.now, process.free_at)
-            process.free_at = begins + process.cost_s
-            wait = process.free_at - self.clock.now
-            self.clock.after(wait, lambda: self.process_input(member, process, event))
+            starts_at = max(self.clock.now, process.free_at)
+            process.free_at = starts_at + process.cost_s
+            delay = process.free_at - self.clock.now
+            self.clock.after(delay, lambda: self.process_input(member, process, event))
         else:
             self.process_input(member, process, event)
 
@@ -164,71 +170,77 @@
             return
         now = Seconds(self.clock.now * process.drift)
         effects = process.controller.step(event, now, WallTime(self.clock.now))
-        stalls, process.stalls_s = process.stalls_s, 0.0
-        if stalls and effects:
-            # What it has just decided is carried out only when it goes on, whatever happened since.
-            self.freeze(member, stalls)
-            self.clock.after(stalls, lambda: self.carry_out_all(member, process, effects))
+        stall_s, process.stalls_s = process.stalls_s, 0.0
+        if stall_s and effects:
+            # The effects are executed once the process continues, even if outdated by then.
+            self.freeze(member, stall_s)
+            self.clock.after(stall_s, lambda: self.execute_all(member, process, effects))
         else:
-            process.stalls_s = stalls
-            self.carry_out_all(member, process, effects)
+            process.stalls_s = stall_s
+            self.execute_all(member, process, effects)
 
-    def carry_out_all(self, member: str, process: Process, effects: list[Effect]) -> None:
+    def execute_all(self, member: str, process: Process, effects: list[Effect]) -> None:
         if process.alive:
             for effect in effects:
-                self.effects.carry_out(member, process, effect)
+                self.effects.execute(member, process, effect)
 
     def freeze(self, member: str, seconds: float) -> None:
-        """It does nothing while its clocks run on; inputs wait for it."""
+        """Suspend the controller while its clocks run on; its inputs wait."""
         process = self.processes[member]
         if process is not None:
             process.free_at = max(process.free_at, self.clock.now + seconds)
 
     def request(
-        self, member: str, make: Callable[[int], Any], continuation: Callable[[Any], None]
+        self, member: str, make_input: Callable[[int], Any], continuation: Callable[[Any], None]
     ) -> None:
-        """A request to a controller; without a response the continuation is not called."""
+        """Send a request to a controller; without a response the continuation is not called."""
         process = self.processes[member]
         if process is None:
             return
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         process.requests[number] = continuation
-        self.deliver(member, process, make(number))
+        self.deliver(member, process, make_input(number))
 
     def receive(self, member: str, event: Any) -> None:
         process = self.processes[member]
         if process is not None:
             self.deliver(member, process, event)
 
-    # The end of all faults
+    # End of the faults, and final checks
 
     def heal(self) -> None:
         self.end_faults()
-        self.network.slow_s = 0.0
+        self.network.extra_delay_s = 0.0
         self.network.heal()
         for process in self.processes.values():
             if process is not None:
                 process.cost_s = process.stalls_s = 0.0
-        self.store.out_until = 0.0
+        self.store.outage_until = 0.0
         self.store.refused_until.clear()
 
     def finish(self) -> None:
-        """All faults end; then each accepted job must be answered for, and done in time."""
+        """End all faults, and check that queries for the accepted jobs succeed and the jobs end.
+
+        Controllers of the old version are upgraded first. Jobs whose tasks always fail are
+        cancelled, and need not end.
+        """
         self.heal()
         for member in sorted(self.old_version):
             self.upgrade(member, 0.5)
             self.clock.advance(4.0)
         self.drop_limits()
-        over = self.clock.now
-        known = sorted(self.accepted)
-        for ref in known:
+        healed_at = self.clock.now
+        accepted = sorted(self.accepted)
+        for ref in accepted:
             self.users.poll_for(ref, 75.0)
         self.clock.advance(75.0)
-        for ref in known:
-            assert self.last_answered_at.get(ref, 0.0) > over, f"no query of {ref} is answered"
+        for ref in accepted:
+            assert self.last_answered_at.get(ref, 0.0) > healed_at, (
+                f"no query of {ref} was answered"
+            )
         for worker in self.workers.values():
             worker.faulty = False
-        self.rules.watch_waiting({})
+        self.rules.check_waiting({})
         for ref in sorted(self.accepted):
             if self.specs[ref].job_class == "broken":
                 self.users.cancel(ref)
@@ -241,24 +253,26 @@
                 assert ref in self.final_statuses, f"{ref} never ends"
 
 
-def at_work(estimate_s: float, for_s: float, seed: int = 3) -> World:
-    """A world whose machines have worked on one job for a while, and none of them is faulty."""
+def world_with_long_job(estimate_s: float, elapsed_s: float, seed: int = 3) -> World:
+    """A world that has run one long job, "job-long", for a while, without faulty machines."""
     world = World(seed)
     world.clock.advance(3.0)
     world.users.submit(job("job-long", tasks=3, estimate_s=estimate_s, team=Team("blue")))
-    world.clock.advance(for_s)
+    world.clock.advance(elapsed_s)
     for worker in world.workers.values():
         worker.faulty = False
     return world
 
 
 def leader_of(world: World) -> str:
-    found = [m for m, p in world.processes.items() if p and p.controller.leader]
-    assert len(found) == 1
-    return found[0]
+    """The only controller that leads."""
+    leaders = [m for m, p in world.processes.items() if p and p.controller.leader]
+    assert len(leaders) == 1
+    return leaders[0]
 
 
 def running(world: World, ref: str) -> int:
+    """The number of the job's tasks that workers are running."""
     return sum(
         1
         for worker in world.workers.values()
