--- a/tests/drawn_days.py
+++ b/tests/drawn_days.py
@@ -1,7 +1,7 @@
-"""Draws days of the tests' world from a seed, outside the suite: `python -m tests.drawn_days`.
+"""Runs random days of the simulated world outside the suite: `python -m tests.drawn_days`.
 
-A day that breaks a rule is printed with its actions; the same seed, number of days and steps draw
-the same days again. The exit status is 1 if a day broke a rule.
+The days are drawn from a seed: the same seed, number of days and steps draw the same days again. A
+day that breaks a rule is printed with its actions, and the exit status is then 1.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from .test_rules import Rules
 
 
-def draw(number: int, days: int, steps: int) -> str | None:
-    """Play days that this seed draws; what broke a rule and on which day, None if nothing did."""
-    begun = 0
+def run_days(number: int, days: int, steps: int) -> str | None:
+    """Run the days drawn from this seed; return the first failure and its day, or None."""
+    days_begun = 0
 
     class CountedRules(Rules):
-        """The rules, with the days counted."""
+        """The state machine of `test_rules.py`, which also counts its days."""
 
         def __init__(self) -> None:
-            nonlocal begun
-            begun += 1
+            nonlocal days_begun
+            days_begun += 1
             super().__init__()
 
     seed(number)(CountedRules)
-    chosen = settings(
+    run_settings = settings(
         max_examples=days,
         stateful_step_count=steps,
         deadline=None,
@@ -40,25 +40,27 @@
         suppress_health_check=list(HealthCheck),
     )
     try:
-        run_state_machine_as_test(CountedRules, settings=chosen)
-    except Exception:  # what is raised is the result
-        return f"day {begun}\n{traceback.format_exc()}"
+        run_state_machine_as_test(CountedRules, settings=run_settings)
+    except Exception:  # the exception is the result
+        return f"day {days_begun}\n{traceback.format_exc()}"
     return None
 
 
 def main() -> int:
-    """Draw the days that the arguments ask for."""
-    parser = argparse.ArgumentParser(description="Draw days of the tests' world.")
+    """Run the days of the seeds that the arguments name."""
+    parser = argparse.ArgumentParser(description="Run random days of the simulated world.")
     parser.add_argument("--seed", type=int, required=True, help="the first seed")
-    parser.add_argument("--seeds", type=int, default=1, help="how many seeds, one after the other")
-    parser.add_argument("--days", type=int, default=90, help="days of each seed")
-    parser.add_argument("--steps", type=int, default=40, help="actions of a day")
+    parser.add_argument("--seeds", type=int, default=1, help="number of consecutive seeds")
+    parser.add_argument("--days", type=int, default=90, help="number of days of each seed")
+    parser.add_argument("--steps", type=int, default=40, help="number of actions of each day")
     arguments = parser.parse_args()
     failed = 0
     for number in range(arguments.seed, arguments.seed + arguments.seeds):
-        broken = draw(number, arguments.days, arguments.steps)
-        failed += broken is not None
-        print(f"seed {number}, {arguments.days} days of {arguments.steps} actions:", broken or "ok")
+        failure = run_days(number, arguments.days, arguments.steps)
+        failed += failure is not None
+        print(
+            f"seed {number}, {arguments.days} days of {arguments.steps} actions:", failure or "ok"
+        )
     return 1 if failed else 0
 
 
--- a/tests/effect_trace.py
+++ b/tests/effect_trace.py
@@ -1,7 +1,8 @@
-"""Prints what all controllers do on drawn days: `python -m tests.effect_trace SEED DAYS STEPS`.
+"""Prints the controllers' effects on random days: `python -m tests.effect_trace SEED DAYS STEPS`.
 
-One line for each effect, in order: calls, answers, messages to peers and log lines, without their
-continuations. `test_same_effects.py` compares the lines of interpreters with other hash seeds.
+Prints one line for each effect in order: calls, responses, messages to peers and log records,
+without their continuations. `test_same_effects.py` compares the output of interpreters with
+different hash seeds.
 """
 
 from __future__ import annotations
@@ -15,13 +16,13 @@
 from crosscleat.core.control.controller import Controller
 from crosscleat.core.model.effects import Effect
 
-from .drawn_days import draw
+from .drawn_days import run_days
 
-take_step = Controller.step
+original_step = Controller.step
 
 
 def describe(value: Any) -> str:
-    """The value as text that is the same in each interpreter: functions are not named."""
+    """The value as text that is the same in every interpreter: sets sorted, functions unnamed."""
     if isinstance(value, msgspec.Struct):
         fields = (getattr(value, name) for name in value.__struct_fields__)
         return f"{type(value).__name__}({', '.join(map(describe, fields))})"
@@ -35,20 +36,20 @@
     return "function" if callable(value) else repr(value)
 
 
-def traced(controller: Controller, *arguments: Any) -> list[Effect]:
-    """A step of the controller, whose effects are printed."""
-    effects = take_step(controller, *arguments)
+def traced_step(controller: Controller, *arguments: Any) -> list[Effect]:
+    """Execute a step of the controller and print its effects."""
+    effects = original_step(controller, *arguments)
     for effect in effects:
         print(f"{controller.deployment.member}: {describe(effect)}")
     return effects
 
 
 def main() -> int:
-    """Play the days, and print the effects of each step."""
+    """Run the days and print the effects of each step."""
     seed, days, steps = map(int, sys.argv[1:])
-    with patch.object(Controller, "step", traced):
-        broken = draw(seed, days, steps)
-    print("broken" if broken else "ok")
+    with patch.object(Controller, "step", traced_step):
+        failure = run_days(seed, days, steps)
+    print("broken" if failure else "ok")
     return 0
 
 
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -1,7 +1,9 @@
-"""Combinations of faults, each with several seeds.
+"""Combinations of faults in the simulated world, each with several seeds.
 
-The world checks every rule all along; then the faults end, and each accepted job must be answered
-for and done in time.
+Guards against rules that are broken, and jobs that are lost or never end, only when faults overlap,
+such as a failover during an outage of the store. The world checks the rules throughout;
+`World.finish` then ends all faults, and requires that queries for each accepted job succeed and
+that the job ends in time.
 """
 
 from __future__ import annotations
@@ -16,8 +18,8 @@
 seeds = pytest.mark.parametrize("seed", range(3))
 
 
-def world_of(seed: int, jobs: int = 4, estimate_s: float = 12.0, tasks: int = 3) -> World:
-    """A world in which that many jobs run or wait for some seconds."""
+def world_with_jobs(seed: int, jobs: int = 4, estimate_s: float = 12.0, tasks: int = 3) -> World:
+    """A world in which this number of jobs have been running or waiting for some seconds."""
     world = World(seed)
     world.clock.advance(3.0)
     for number in range(jobs):
@@ -34,7 +36,8 @@
     return world
 
 
-def busy(world: World) -> list[str]:
+def busy_machines(world: World) -> list[str]:
+    """Names of the machines that have tasks."""
     return [name for name, w in world.workers.items() if w.tasks and not w.dead]
 
 
@@ -43,7 +46,7 @@
 def test_two_failovers_then_all_controllers_crash_and_one_restarts(
     seed: int, apart_s: float
 ) -> None:
-    world = world_of(seed)
+    world = world_with_jobs(seed)
     for _ in range(2):
         world.end_leader(0.05)
         world.clock.advance(apart_s)
@@ -57,14 +60,15 @@
 
 @seeds
 def test_a_heartbeat_delayed_until_a_new_leader_has_acted(seed: int) -> None:
-    world = world_of(seed)
-    for name in busy(world):
+    world = world_with_jobs(seed)
+    for name in busy_machines(world):
         for member in MEMBERS:
             world.network.cut(name, member, "hold")
     world.clock.advance(3.0)
     world.end_leader(0.2)
     world.duplicates = 0.6
-    # It gives up silent machines and places their tasks elsewhere before the old heartbeats arrive.
+    # The new leader gives up the silent machines and places their tasks elsewhere before the
+    # delayed heartbeats arrive.
     world.clock.advance(2.0 * LEASE_S)
     world.network.heal()
     world.clock.advance(5.0)
@@ -72,17 +76,17 @@
 
 
 @seeds
-@pytest.mark.parametrize("alone", [False, True])
-def test_users_cancel_and_ask_while_the_store_is_slow_refuses_one_and_then_all(
-    seed: int, alone: bool
+@pytest.mark.parametrize("refuse_leader", [False, True])
+def test_cancellations_and_queries_while_the_store_is_slow_and_then_unavailable(
+    seed: int, refuse_leader: bool
 ) -> None:
-    world = world_of(seed, estimate_s=60.0)
+    world = world_with_jobs(seed, estimate_s=60.0)
     world.slow_store_s = 3.0
     for ref in ("job-0", "job-1"):
         world.users.poll_for(ref, 60.0)
         world.users.cancel(ref)
     world.clock.advance(4.0)
-    if alone:
+    if refuse_leader:
         for member in world.leading():
             world.store.refused_until[member] = world.clock.now + 20.0
         world.clock.advance(1.0)
@@ -95,12 +99,12 @@
 
 
 @seeds
-def test_a_team_at_its_limit_when_the_leader_changes_and_a_cancellation_comes(seed: int) -> None:
-    world = world_of(seed, jobs=0)
+def test_a_team_at_its_limit_during_a_failover_with_cancellations(seed: int) -> None:
+    world = world_with_jobs(seed, jobs=0)
     for number in range(5):
         world.users.submit(job(f"job-{number}", tasks=4, estimate_s=30.0))
     world.clock.advance(14.0)
-    for name in busy(world)[::2]:
+    for name in busy_machines(world)[::2]:
         for member in MEMBERS:
             world.network.cut(name, member, "hold" if seed % 2 else "reset")
     world.end_leader(5.0)
@@ -117,7 +121,7 @@
 def test_a_cancellation_while_the_store_refuses_the_leader_before_an_outage(
     seed: int, after_s: float
 ) -> None:
-    world = world_of(seed, estimate_s=90.0)
+    world = world_with_jobs(seed, estimate_s=90.0)
     world.cloud_down = True
     for member in world.leading():
         world.store.refused_until[member] = world.clock.now + 14.0
@@ -130,16 +134,16 @@
 
     world.finish()
 
-    # Some cancellations may have been confirmed later; no task is on a machine.
+    # Some cancellations may have been confirmed only after the outage; no task may run any more.
     assert all(running(world, f"job-{number}") == 0 for number in range(4))
 
 
 @seeds
 @pytest.mark.parametrize("slow_s", [0.0, 1.0])
-def test_requests_that_meet_the_end_of_the_last_task(seed: int, slow_s: float) -> None:
-    world = world_of(seed, jobs=0)
+def test_requests_that_arrive_as_the_last_task_ends(seed: int, slow_s: float) -> None:
+    world = world_with_jobs(seed, jobs=0)
     world.cancel_at_end = 0.6
-    # The end of the job is written between the read and the write of a cancellation.
+    # On a slow store the end of the job is written between a cancellation's read and write.
     world.slow_store_s = slow_s
     for number in range(8):
         world.users.submit(job(f"job-{number}", tasks=1 + number % 3, estimate_s=4.0))
@@ -155,7 +159,7 @@
 @seeds
 @pytest.mark.parametrize("outage_s", [0.0, 40.0])
 def test_ten_failovers_in_two_minutes(seed: int, outage_s: float) -> None:
-    world = world_of(seed, estimate_s=20.0)
+    world = world_with_jobs(seed, estimate_s=20.0)
     world.duplicates = 0.2
     for number in range(10):
         if number == 3 and outage_s:
@@ -169,9 +173,11 @@
 
 @seeds
 @pytest.mark.parametrize("crash", [False, True])
-def test_workers_that_reach_no_controller_are_reached_directly(seed: int, crash: bool) -> None:
-    world = world_of(seed, estimate_s=30.0)
-    world.silenced.update(world.workers if seed % 2 else busy(world))
+def test_workers_whose_heartbeats_are_lost_are_reached_by_direct_commands(
+    seed: int, crash: bool
+) -> None:
+    world = world_with_jobs(seed, estimate_s=30.0)
+    world.silenced.update(world.workers if seed % 2 else busy_machines(world))
     world.clock.advance(3.0)
     world.users.cancel("job-0")
     if crash:
@@ -184,11 +190,12 @@
 @seeds
 @pytest.mark.parametrize("outage_s", [0.0, 4.0])
 def test_tasks_of_a_job_that_end_far_apart_across_a_failover(seed: int, outage_s: float) -> None:
-    world = world_of(seed, jobs=0)
+    world = world_with_jobs(seed, jobs=0)
     for number in range(4):
         world.users.submit(job(f"job-{number}", tasks=2 + number % 2, cpus=1.0, estimate_s=16.0))
     world.clock.advance(4.0)
-    # Run times vary by a factor of three: the first task ends, then leaders, then the last task.
+    # Run times vary by a factor of three: leaders crash between the ends of the first and the
+    # last task.
     for _ in range(6):
         world.clock.advance(3.0)
         world.store.outage(outage_s)
@@ -200,7 +207,7 @@
 
 @seeds
 def test_more_work_than_capacity_over_slow_links(seed: int) -> None:
-    world = world_of(seed, jobs=0)
+    world = world_with_jobs(seed, jobs=0)
     world.network.extra_delay_s = 1.5
     for number in range(24):
         world.users.submit(
@@ -222,7 +229,7 @@
 @seeds
 @pytest.mark.parametrize("crash", [False, True])
 def test_writes_carried_out_after_newer_ones(seed: int, crash: bool) -> None:
-    world = world_of(seed, jobs=2)
+    world = world_with_jobs(seed, jobs=2)
     world.late_writes = 0.3
     for number in range(2, 8):
         world.users.submit(job(f"job-{number}", tasks=2, estimate_s=4.0, team=Team("blue")))
@@ -239,7 +246,7 @@
 @seeds
 @pytest.mark.parametrize("mode", ["hold", "reset"])
 def test_a_zone_with_a_controller_is_cut_off_for_longer_than_a_lease(seed: int, mode: str) -> None:
-    world = world_of(seed, estimate_s=30.0)
+    world = world_with_jobs(seed, estimate_s=30.0)
     world.cut_zone("ab"[seed % 2], mode)
     world.clock.advance(4.0)
     world.users.cancel("job-0")
@@ -252,13 +259,13 @@
 @seeds
 @pytest.mark.parametrize("hang_s", [0.0, 6.0, LEASE_S + 3.0])
 def test_commands_delayed_for_seconds_while_the_machine_continues(seed: int, hang_s: float) -> None:
-    world = world_of(seed, jobs=2, estimate_s=8.0)
+    world = world_with_jobs(seed, jobs=2, estimate_s=8.0)
     world.flaky = 0.5
     for number in range(2, 7):
         world.users.submit(job(f"job-{number}", tasks=2, estimate_s=6.0, team=Team("blue")))
         world.clock.advance(2.0)
         world.users.cancel(f"job-{number}") if number % 3 == 0 else None
-        for name in busy(world)[:2]:
+        for name in busy_machines(world)[:2]:
             world.workers[name].hang(hang_s)
     world.clock.advance(20.0)
     world.finish()
@@ -269,7 +276,7 @@
 def test_a_cancellation_through_the_successor_of_a_leader_without_store_and_peers(
     seed: int, mode: str
 ) -> None:
-    world = world_of(seed, estimate_s=90.0)
+    world = world_with_jobs(seed, estimate_s=90.0)
     world.cloud_down = True
     old = leader_of(world)
     world.network.cut(old, REGION, mode)
@@ -289,7 +296,7 @@
 @seeds
 @pytest.mark.parametrize("place", ["one_zone", "zone", "spread"])
 def test_jobs_bound_to_a_zone_lose_machines(seed: int, place: str) -> None:
-    world = world_of(seed, jobs=0)
+    world = world_with_jobs(seed, jobs=0)
     for number in range(3):
         world.users.submit(
             job(
@@ -303,10 +310,10 @@
             )
         )
     world.clock.advance(12.0)
-    for name in busy(world)[::2]:
+    for name in busy_machines(world)[::2]:
         world.workers[name].dead = True
         world.workers[name].tasks.clear()
-    for name in busy(world)[1::2]:
+    for name in busy_machines(world)[1::2]:
         world.workers[name].hang(LEASE_S - 2.0)
     world.clock.advance(1.0)
     world.end_leader(0.3)
@@ -317,7 +324,7 @@
 @seeds
 @pytest.mark.parametrize("away_s", [LEASE_S - 1.0, LEASE_S + 6.0, CANCEL_S + LEASE_S])
 def test_all_controllers_are_down(seed: int, away_s: float) -> None:
-    world = world_of(seed, estimate_s=40.0)
+    world = world_with_jobs(seed, estimate_s=40.0)
     world.users.cancel("job-0")
     world.clock.advance(0.3)
     for number, member in enumerate(MEMBERS):
@@ -328,12 +335,12 @@
 
 @seeds
 def test_old_heartbeats_after_newer_ones_of_earlier_agent_epochs_and_attempts(seed: int) -> None:
-    world = world_of(seed, estimate_s=10.0)
+    world = world_with_jobs(seed, estimate_s=10.0)
     world.duplicates = 0.7
     for number in range(6):
-        for name in busy(world)[number % 2 :: 3]:
+        for name in busy_machines(world)[number % 2 :: 3]:
             if number % 2:
-                # Its agent epoch ends; it begins another, and attempts are repeated.
+                # Its lease expires: it begins a new agent epoch, and its attempts are repeated.
                 for member in MEMBERS:
                     world.network.cut(name, member, "hold")
             else:
@@ -348,11 +355,9 @@
 
 @seeds
 @pytest.mark.parametrize("cut", ["both directions", "replies only"])
-def test_a_leader_ends_while_machines_with_long_tasks_are_cut_off_from_the_next(
-    seed: int, cut: str
-) -> None:
-    world = world_of(seed, jobs=2, estimate_s=200.0)
-    names = busy(world)[: 1 + seed % 2]
+def test_a_leader_crashes_while_machines_with_long_tasks_are_cut_off(seed: int, cut: str) -> None:
+    world = world_with_jobs(seed, jobs=2, estimate_s=200.0)
+    names = busy_machines(world)[: 1 + seed % 2]
     for name in names:
         for member in MEMBERS:
             if cut == "both directions":
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -1,4 +1,9 @@
-"""Rolling upgrades from one version to the other in a world with faults."""
+"""Rolling upgrades of the controllers in the simulated world, also with faults.
+
+Guards against records of one version that the other cannot read, and against records that exceed
+the new store limits: both versions may lead in turn until all controllers are upgraded, and the
+limits drop afterwards.
+"""
 
 from __future__ import annotations
 
@@ -17,6 +22,7 @@
 
 
 def busy_world(seed: int) -> World:
+    """A world of the old version in which several jobs run, one with many tasks."""
     world = World(seed, upgrade=True)
     world.boot_failure_chance = 0.0
     world.clock.advance(3.0)
@@ -36,8 +42,8 @@
     return world
 
 
-def begin_fault(world: World, fault: str, number: int) -> None:
-    """The fault before the controller of this number changes."""
+def inject_fault(world: World, fault: str, number: int) -> None:
+    """Inject the fault that precedes the upgrade of this controller."""
     if fault == "crashes":
         # A controller that crashes before its turn restarts as the old version.
         world.end_leader(0.3)
@@ -49,7 +55,7 @@
 
 
 def large_values(world: World) -> list[str]:
-    """The keys of the values that exceed the new limit."""
+    """The keys of the values that exceed the new size limit."""
     return [
         key
         for key, (value, _, _) in world.store.items.items()
@@ -59,12 +65,12 @@
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("fault", ["none", "crashes", "outage", "late", "cut"])
-def test_controllers_change_one_after_the_other_amid_faults(seed: int, fault: str) -> None:
+def test_controllers_are_upgraded_one_after_the_other_during_faults(seed: int, fault: str) -> None:
     world = busy_world(seed)
     if fault == "late":
         world.late_writes = world.duplicates = 0.3
     for number, member in enumerate(MEMBERS):
-        begin_fault(world, fault, number)
+        inject_fault(world, fault, number)
         world.upgrade(member, 0.5)
         world.clock.advance(4.0)
         if number == 1:
@@ -72,7 +78,7 @@
     world.network.heal()
     world.clock.advance(1.0 + 3.0 * seed)
     if fault == "none":
-        # The term during which the last controller changed gave way to one that splits chunks.
+        # After the upgrade of the last controller a new term begins, which uses smaller chunks.
         (leader,) = [
             p.controller.leader for p in world.processes.values() if p and p.controller.leader
         ]
@@ -100,18 +106,18 @@
         world.end_leader(0.2)
         world.clock.advance(3.0)
     values = [v for key, (v, _, _) in world.store.items.items() if key.startswith("work/")]
-    assert all(set(value) == {"jobs"} for value in values), "the form that both versions read"
+    assert all(set(value) == {"jobs"} for value in values), "both versions can read this form"
 
     world.finish()
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.01, 0.03, 0.1, 0.3])
-def test_a_controller_that_dies_while_it_writes_its_format_key(after_s: float) -> None:
+def test_a_controller_that_crashes_while_it_writes_its_format_key(after_s: float) -> None:
     world = busy_world(2)
     for member in MEMBERS:
         world.upgrade(member, 0.2)
         for _ in range(3):
-            # Whether or not its key is recorded, it restarts with the new version.
+            # It restarts with the new version, whether or not its format key was written.
             world.clock.advance(0.2 + after_s)
             world.crash(member, 0.2)
         world.clock.advance(3.0)
@@ -123,17 +129,18 @@
     assert world.final_statuses["job-g"] == "done"
 
 
-def answers_to(world: World, member: str, spec: JobSpec) -> list[Response]:
-    found: list[Response] = []
+def submit_to(world: World, member: str, spec: JobSpec) -> list[Response]:
+    """Submit a job to this controller; its responses within one second."""
+    responses: list[Response] = []
     world.specs[spec.ref] = spec
     world.users.accept_once_stored(spec.ref)
-    world.request(member, lambda number: SubmitJob(number, spec), found.append)
+    world.request(member, lambda number: SubmitJob(number, spec), responses.append)
     world.clock.advance(1.0)
-    return found
+    return responses
 
 
 @pytest.mark.parametrize("missing", MEMBERS)
-def test_arrays_continue_without_a_controller_that_never_comes_back(missing: str) -> None:
+def test_arrays_continue_but_gangs_are_refused_while_a_controller_is_missing(missing: str) -> None:
     world = busy_world(4)
     world.crash(missing, 1e6)
     others = [member for member in MEMBERS if member != missing]
@@ -141,12 +148,12 @@
         world.upgrade(member, 0.5)
         world.clock.advance(4.0)
     for number in range(10, 13):
-        # Users reach the controllers that run.
+        # Jobs are submitted to the running controllers.
         spec = job(f"job-{number}", tasks=3, estimate_s=5.0, team=Team("blue"))
-        (answer,) = answers_to(world, others[number % 2], spec)
+        (answer,) = submit_to(world, others[number % 2], spec)
         assert answer.status == 201
         gang = job(f"job-g{number}", tasks=2, team=Team("blue"), shape=Shape.GANG)
-        (refusal,) = answers_to(world, others[number % 2], gang)
+        (refusal,) = submit_to(world, others[number % 2], gang)
         assert refusal.status == 503
         assert refusal.retry_after_s == 1
         world.clock.advance(40.0)
@@ -154,7 +161,7 @@
     done = {task.job for task in world.results}
     assert {"job-10", "job-11", "job-12"} <= done
     assert all("span" not in value for key, (value, _, _) in world.store.items.items()
-               if key.startswith("work/")), "the missing one may restart as old"  # fmt: skip
+               if key.startswith("work/")), "the missing one may restart with old code"  # fmt: skip
 
     world.start_controller(missing)
     world.finish()
@@ -162,34 +169,34 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_leadership_goes_old_new_old_new_with_work_in_every_state(seed: int) -> None:
+def test_leadership_alternates_between_versions_with_tasks_in_every_state(seed: int) -> None:
     world = busy_world(seed)
     new = MEMBERS[seed]
     world.upgrade(new, 0.1)
     world.clock.advance(2.0)
     for turn in range(4):
-        # New jobs wait, others run, one is cancelled, and a machine falls silent.
+        # There are waiting and running jobs, a cancelled one, and a machine that hangs.
         world.users.submit(job(f"job-t{turn}", tasks=4, estimate_s=8.0, team=Team("blue")))
         world.clock.advance(0.3 * turn)
-        wanted = {new} if turn % 2 else set(MEMBERS) - {new}
+        expected = {new} if turn % 2 else set(MEMBERS) - {new}
         for _ in range(30):
             leading = world.leading()
-            if leading and leading[0] in wanted:
+            if leading and leading[0] in expected:
                 break
             world.end_leader(0.5)
             world.clock.advance(1.0)
         assert world.leading()
-        assert world.leading()[0] in wanted
+        assert world.leading()[0] in expected
         if turn == 1:
             world.users.cancel(f"job-t{turn}")
-        host = next(w for w in world.workers.values() if w.up and not w.dead)
-        host.hang(3.0)
+        worker = next(w for w in world.workers.values() if w.up and not w.dead)
+        worker.hang(3.0)
         world.clock.advance(4.0)
     world.finish()
 
 
 @pytest.mark.parametrize("seed", range(2))
-@pytest.mark.parametrize("moment", ["before", "during", "after", "as the leader ends"])
+@pytest.mark.parametrize("moment", ["before", "during", "after", "as the leader crashes"])
 def test_the_limits_drop_around_an_outage_or_a_failover(seed: int, moment: str) -> None:
     world = busy_world(seed)
     for member in MEMBERS:
@@ -198,11 +205,11 @@
     world.users.submit(job("job-g", tasks=3, estimate_s=20.0, team=Team("blue"), shape=Shape.GANG))
     if moment == "before":
         world.drop_limits()
-    elif moment == "as the leader ends":
+    elif moment == "as the leader crashes":
         world.end_leader(0.3)
         world.drop_limits()
     world.clock.advance(0.5)
-    if moment != "as the leader ends":
+    if moment != "as the leader crashes":
         world.store.outage(12.0)
     world.clock.advance(6.0)
     if moment == "during":
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,8 @@
-"""Three controllers in a world that fails, with crashes, cuts and late messages drawn at random."""
+"""Random sequences of faults and user requests against three controllers in the simulated world.
+
+Guards against violations of the protocol's rules that only combinations of crashes, cuts, delayed
+messages and cancellations cause. The world checks the rules during each day and at its end.
+"""
 
 from __future__ import annotations
 
@@ -317,7 +321,7 @@
     stateful_step_count=40,
     deadline=None,
     derandomize=True,
-    # Shrinking replays whole days for minutes; the first failing one is short enough to read.
+    # Shrinking would run whole days for minutes; the first failing day is short enough to read.
     phases=[Phase.generate],
     suppress_health_check=list(HealthCheck),
 )
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,9 @@
-"""Two versions side by side: each reads what the other writes; large records are rewritten."""
+"""Compatibility of records and messages with the version in production (394dfe6).
+
+Guards against an upgrade that loses jobs or tasks. Until all controllers are upgraded either
+version may lead, and must read what the other wrote. Afterwards a leader splits large records into
+smaller ones for the new store limits, and may crash in the middle of this.
+"""
 
 from __future__ import annotations
 
@@ -47,14 +52,16 @@
 SMALL_KB, SMALL_OPS = NEXT_LIMITS
 
 
-def stored(records: PlacementRecords, version: int = 9) -> list[Item]:
+def stored_items(records: PlacementRecords, version: int = 9) -> list[Item]:
+    """The records as the store holds them, each with a version of its own."""
     return [
         Item(r.key, msgspec.msgpack.decode(msgspec.msgpack.encode(r.value())), Version(version + n))
         for n, r in enumerate(records)
     ]
 
 
-def state_of(one_job: Job) -> dict[int, tuple[int, str, int] | str]:
+def task_states(one_job: Job) -> dict[int, tuple[int, str, int] | str]:
+    """The done and the placed tasks of the job, in the form that `read_by_394dfe6` returns."""
     state: dict[int, tuple[int, str, int] | str] = {
         index: "done" for index in range(one_job.spec.tasks) if one_job.done[index]
     }
@@ -65,7 +72,7 @@
 
 
 def unplaced(jobs: dict[JobRef, Job], records: PlacementRecords) -> dict[JobRef, Job]:
-    """The same jobs as a new leader has them before it loads these records."""
+    """The same jobs without placements, as a new leader has them before it loads the records."""
     return {
         ref: Job(one_job.spec, Version(1), NOW, records.chunk_length)
         for ref, one_job in jobs.items()
@@ -75,23 +82,24 @@
 def drawn_jobs(
     sizes: list[int], records: PlacementRecords, data: st.DataObject
 ) -> dict[JobRef, Job]:
-    """Jobs of these sizes in the records, some of their tasks placed and some done."""
+    """Jobs with these numbers of tasks, some of them placed in the records and some done."""
     jobs = {JobRef(f"job-{n}"): Job(job(f"job-{n}", tasks=size), Version(1), NOW)
             for n, size in enumerate(sizes)}  # fmt: skip
     for one_job in jobs.values():
         placed = data.draw(st.integers(0, one_job.spec.tasks))
-        spread(records, one_job, placed, data.draw(st.integers(0, placed)))
+        place_tasks(records, one_job, placed, data.draw(st.integers(0, placed)))
     return jobs
 
 
 def finish_first(records: PlacementRecords) -> None:
-    """The placed tasks of the first entry of the first record are done."""
+    """Mark the placed tasks of the first entry of the first record as done."""
     (one_job, chunk), *_ = next(iter(records)).entries.values()
     for index in list(chunk.placed):
         one_job.finish(index)
 
 
-def spread(records: PlacementRecords, one_job: Job, placed: int, done: int) -> None:
+def place_tasks(records: PlacementRecords, one_job: Job, placed: int, done: int) -> None:
+    """Place this number of tasks, and mark the first `done` tasks as done."""
     for _ in range(placed):
         task, _ = one_job.place(MachineId("m-000007"), AgentEpoch(1))
         records.record_for(one_job, one_job.chunk_of(task.number)).mark_changed(
@@ -110,10 +118,10 @@
     }
     items = [Item(key, value, Version(5)) for key, value in WORK_394DFE6.items()]
     PlacementRecords(16.0, 8, True).load(items, jobs)
-    wanted = read_by_394dfe6(WORK_394DFE6)
+    expected = read_by_394dfe6(WORK_394DFE6)
     for ref, one_job in jobs.items():
         one_job.finish_loading()
-        assert state_of(one_job) == wanted[ref]
+        assert task_states(one_job) == expected[ref]
     assert jobs[SPEC.ref].chunks[0].attempts == {1: 1, 2: 1}
 
     decommission_records = DecommissionRecords(16.0)
@@ -132,7 +140,7 @@
 
 
 def test_the_leader_key_is_read_and_written_as_by_production() -> None:
-    """Either version follows a leader of the other, and may take over its key."""
+    """Either version follows a leader of the other version, and may take over its key."""
     leader_394dfe6 = {"member": "c1", "boot": "0123456789abcdef", "lease": 7}
     outbox = Outbox()
     election = Election(Member("c1"), "0123456789abcdef", outbox, Random(1), lambda: NOW, NoTerm())
@@ -157,7 +165,7 @@
     assert answer.body["status"] == status
 
 
-def test_records_and_messages_have_productions_form_until_all_have_changed() -> None:
+def test_records_and_messages_keep_the_form_of_production_until_all_are_upgraded() -> None:
     record = msgspec.to_builtins(live_record(SPEC, WallTime(1700000000.25), cancelled=False))
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(record)) == LIVE_394DFE6
     assert msgspec.convert(record["spec"], Spec394dfe6).ref == SPEC.ref
@@ -174,18 +182,18 @@
 
 
 @given(st.integers(1, 450), st.data())
-def test_production_reads_what_is_written_before_all_have_changed(
+def test_production_reads_what_is_written_before_all_are_upgraded(
     tasks: int, data: st.DataObject
 ) -> None:
     records = PlacementRecords(SMALL_KB, SMALL_OPS, cut=False)
     one_job = Job(job("job-1", tasks=tasks), Version(1), NOW, records.chunk_length)
     placed = data.draw(st.integers(0, tasks))
 
-    spread(records, one_job, placed, data.draw(st.integers(0, placed)))
-    items = {item.key: item.value for item in stored(records)}
+    place_tasks(records, one_job, placed, data.draw(st.integers(0, placed)))
+    items = {item.key: item.value for item in stored_items(records)}
 
     assert all(set(value) == {"jobs"} for value in items.values())
-    assert read_by_394dfe6(items).get("job-1", {}) == state_of(one_job)
+    assert read_by_394dfe6(items).get("job-1", {}) == task_states(one_job)
 
 
 @settings(max_examples=300)
@@ -195,14 +203,15 @@
 ) -> None:
     old = PlacementRecords(16.0, 8, cut=False)
     before = drawn_jobs(sizes, old, data)
-    items = stored(old, version=2)
+    items = stored_items(old, version=2)
     small = PlacementRecords(SMALL_KB, SMALL_OPS, cut=True)
     after = unplaced(before, small)
     small.load(items, after)
     removable = small.take_rewritten()
-    # Some records are rewritten, then the leader ends: the next finds both, and the later counts.
+    # The leader crashes after it has rewritten some records: the next leader reads old and
+    # rewritten ones, and the later ones take precedence.
     written = data.draw(st.integers(0, len(list(small))))
-    rewritten = stored(small, version=50)[:written]
+    rewritten = stored_items(small, version=50)[:written]
     for record in list(small)[:written]:
         assert len(msgspec.json.encode(record.value())) <= SMALL_KB * 1024
         small.mark_rewritten(list(record.entries.values()))
@@ -210,33 +219,33 @@
     kept = [item for item in items if item.key not in {key for key, _ in removable}]
     changed = data.draw(st.booleans()) and bool(rewritten)
     if changed:
-        # Tasks of a rewritten record are done since then.
+        # Some tasks of a rewritten record have been done since.
         finish_first(small)
-        rewritten[0] = stored(small, version=50)[0]
-    third = PlacementRecords(SMALL_KB, SMALL_OPS, cut=True)
-    again = unplaced(before, third)
-    third.load([*kept, *rewritten], again)
-    for ref, one_job in again.items():
+        rewritten[0] = stored_items(small, version=50)[0]
+    reloaded_records = PlacementRecords(SMALL_KB, SMALL_OPS, cut=True)
+    reloaded = unplaced(before, reloaded_records)
+    reloaded_records.load([*kept, *rewritten], reloaded)
+    for ref, one_job in reloaded.items():
         one_job.finish_loading()
-        assert state_of(one_job) == state_of(after[ref])
+        assert task_states(one_job) == task_states(after[ref])
         assert (
             one_job.waiting_count() + one_job.placed_count() + one_job.done_count
             == one_job.spec.tasks
         )
 
     if not changed:
-        assert {ref: state_of(one_job) for ref, one_job in after.items()} == {
-            ref: state_of(one_job) for ref, one_job in before.items()
+        assert {ref: task_states(one_job) for ref, one_job in after.items()} == {
+            ref: task_states(one_job) for ref, one_job in before.items()
         }
 
 
 def test_a_record_is_removed_only_when_all_of_it_is_rewritten() -> None:
     old = PlacementRecords(16.0, 8, cut=False)
     one_job = Job(job("job-1", tasks=150), Version(1), NOW)
-    spread(old, one_job, 150, 0)
+    place_tasks(old, one_job, 150, 0)
     small = PlacementRecords(SMALL_KB, SMALL_OPS, cut=True)
     jobs = {one_job.ref: Job(one_job.spec, Version(1), NOW, small.chunk_length)}
-    small.load(stored(old), jobs)
+    small.load(stored_items(old), jobs)
     records = list(small)
     assert len(records) == 4
     assert small.take_rewritten() == []
@@ -248,7 +257,7 @@
     assert small.take_rewritten() == [("work/1", 9)]
 
 
-def test_a_chunk_of_two_hundred_is_cut_only_for_small_values() -> None:
+def test_chunks_are_shorter_than_the_default_only_for_small_values() -> None:
     assert PlacementRecords(16.0, 8, cut=True).chunk_length == DEFAULT_CHUNK_LENGTH
     assert PlacementRecords(SMALL_KB, SMALL_OPS, cut=True).chunk_length == 42
     assert PlacementRecords(SMALL_KB, SMALL_OPS, cut=False).chunk_length == DEFAULT_CHUNK_LENGTH
--- a/tests/world/__init__.py
+++ b/tests/world/__init__.py
@@ -22,8 +22,8 @@
   while, although its clocks run on. `cost_s`: processing time of each input. `drift`: its clock
   runs faster or slower than the simulated clock.
 - hang: a machine stops for a while, and then processes everything that arrived meanwhile. restart:
-  it loses power and is back immediately. dead: it never comes back. `reclaimed_at`: the time at
-  which the cloud reclaims a spot machine. faulty: all tasks on the machine fail.
+  it loses power and is back immediately. dead: it never comes back. `reclaimed_at`: the announced
+  time at which the cloud reclaims a spot machine. faulty: all tasks on the machine fail.
 - silenced: a worker's heartbeats reach no controller. `no_direct`: direct commands do not reach it.
 - flaky: the probability that a commit, a direct command, a rental or a deletion of machines gets no
   reply and is executed late. `late_writes`: the same for all writes to the store. `duplicates`: the
--- a/tests/world/worker.py
+++ b/tests/world/worker.py
@@ -99,13 +99,13 @@
     def hang(self, seconds: float) -> None:
         self.hung_until = self.world.clock.now + seconds
 
-    def run_unless_hung(self, action: Callable[[], None]) -> None:
+    def run_when_not_hung(self, action: Callable[[], None]) -> None:
         """Run the action now, or when the machine stops hanging; a dead machine never runs it."""
         if self.dead:
             return
         if self.hung:
             self.world.clock.after(self.hung_until - self.world.clock.now + 1e-6,
-                                   lambda: self.run_unless_hung(action))  # fmt: skip
+                                   lambda: self.run_when_not_hung(action))  # fmt: skip
         else:
             action()
 
@@ -124,7 +124,7 @@
         if self.dead:
             return
         if self.hung:
-            self.run_unless_hung(self.send_heartbeat)
+            self.run_when_not_hung(self.send_heartbeat)
             return
         self.heartbeat_number += 1
         number = self.heartbeat_number
@@ -133,7 +133,7 @@
         member = self.world.members[self.controller_index % len(MEMBERS)]
 
         def respond(response: HeartbeatResponse | None) -> None:
-            self.run_unless_hung(
+            self.run_when_not_hung(
                 lambda: self.receive_response(number, agent_epoch, sent_at, response)
             )
 
@@ -212,7 +212,7 @@
         if self.dead or self.tasks.get(key) is not worker_task or worker_task.state == "exited":
             return
         if self.hung:
-            self.run_unless_hung(lambda: self.advance_task(key, worker_task))
+            self.run_when_not_hung(lambda: self.advance_task(key, worker_task))
             return
         spec = self.world.specs[key[0].job]
         if worker_task.state == "fetching" and key[0] not in self.world.results:
--- a/tests/world/worker_calls.py
+++ b/tests/world/worker_calls.py
@@ -117,4 +117,4 @@
             if self.world.rng.random() >= self.world.flaky:
                 self.world.network.send(call.address, member, lambda: on_reply(heartbeat))
 
-        worker.run_unless_hung(execute)
+        worker.run_when_not_hung(execute)
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -114,7 +114,7 @@
         self.deliver(member, process, Started())
         self.tick(member, process)
 
-    def crash(self, member: str, back_s: float) -> None:
+    def crash(self, member: str, restart_delay_s: float) -> None:
         process = self.processes[member]
         if process is None:
             return
@@ -123,20 +123,20 @@
         for other in MEMBERS:
             if other != member:
                 self.network.send(other, member, partial(self.report_unreachable, other, member))
-        self.clock.after(back_s, lambda: self.start_controller(member))
+        self.clock.after(restart_delay_s, lambda: self.start_controller(member))
 
     def leading(self) -> list[str]:
         return [m for m, p in self.processes.items() if p and p.controller.election.leading]
 
-    def end_leader(self, back_s: float) -> None:
-        """Crash the current leader, if there is one; it restarts after `back_s`."""
+    def end_leader(self, restart_delay_s: float) -> None:
+        """Crash the current leader, if there is one; it restarts after `restart_delay_s`."""
         for member in self.leading():
-            self.crash(member, back_s)
+            self.crash(member, restart_delay_s)
 
-    def upgrade(self, member: str, back_s: float) -> None:
+    def upgrade(self, member: str, restart_delay_s: float) -> None:
         """Restart the controller with the new version; after a mere crash it keeps the old one."""
         self.old_version.discard(member)
-        self.crash(member, back_s)
+        self.crash(member, restart_delay_s)
 
     def drop_limits(self) -> None:
         """Apply the new store limits from now on, if all controllers have the new version."""
