--- a/deploy/build.py
+++ b/deploy/build.py
@@ -16,7 +16,7 @@
 
 
 def main() -> int:
-    """Install the libraries unless these requirements are installed already, and compile all."""
+    """Install the libraries unless they are installed already, and byte-compile them and src."""
     requirements = REQUIREMENTS.read_text()
     if not STAMP.exists() or STAMP.read_text() != requirements:
         DEPS.mkdir(parents=True, exist_ok=True)
--- a/src/crosscleat/adapters/http_server.py
+++ b/src/crosscleat/adapters/http_server.py
@@ -177,14 +177,14 @@
 
 async def _read_body(request: web.BaseRequest) -> bytes | None:
     """The request's body; None if it is too long or arrives too slowly."""
-    if (request.content_length or 0) > wire.MAX_BYTES:
+    if (request.content_length or 0) > wire.MAX_BODY_BYTES:
         return None
     body = bytearray()
     try:
         async with Deadline(BODY_TIMEOUT_S):
             async for chunk in request.content.iter_any():
                 body += chunk
-                if len(body) > wire.MAX_BYTES:
+                if len(body) > wire.MAX_BODY_BYTES:
                     return None
     except TimeoutError:
         return None
--- a/src/crosscleat/cli.py
+++ b/src/crosscleat/cli.py
@@ -59,7 +59,7 @@
 
 
 def read_tuning_options(arguments: argparse.Namespace, environ: Mapping[str, str]) -> TuningOptions:
-    """Read each option from its flag, else its variable, else use its default.
+    """Take each option from its flag, its environment variable or its default, in this order.
 
     Raises SettingsError.
     """
--- a/src/crosscleat/settings.py
+++ b/src/crosscleat/settings.py
@@ -20,15 +20,15 @@
 Positive = Annotated[float, Meta(gt=0.0, le=1e9)]
 Amount = Annotated[float, Meta(ge=0.0, le=1e9)]
 ValueLimit = Annotated[float, Meta(ge=1.5, le=1e6)]
-"""Size of a value in KiB. The record of a single job takes up to 1.3 KiB."""
+"""Maximum size of a value in KiB. The record of a single job takes up to 1.3 KiB."""
 OperationLimit = Annotated[int, Meta(ge=4)]
-"""Number of writes in one transaction."""
+"""Maximum number of writes in one transaction."""
 Name = Annotated[str, Meta(min_length=1, max_length=100)]
 Address = Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$")]
 
 
 class SettingsError(CrosscleatError):
-    """A setting is missing or invalid; the one-line message names it and the file it came from."""
+    """A setting is missing or invalid; the one-line message says which, and where it was read."""
 
 
 class Peer(msgspec.Struct):
@@ -65,7 +65,7 @@
 
 
 class WorkerSettings(msgspec.Struct):
-    """Times that apply to workers: heartbeat interval, lease, cancellation and gang waits."""
+    """Intervals and time limits of workers and gangs; `Deployment` describes each of them."""
 
     report_s: Positive
     lease_s: Positive
@@ -141,7 +141,7 @@
     peers: list[Peer] = []
 
     def deployment(self, tuning: TuningOptions) -> Deployment:
-        """Convert the settings that scheduling decisions depend on to the core's type."""
+        """Convert the settings that the core's decisions depend on to the core's type."""
         shared = self.settings
         state = shared.state.strictest()
         members = {self.member, *(peer.member for peer in self.peers)}
@@ -181,7 +181,7 @@
 
 
 def parse(raw: object, origin: str) -> Settings:
-    """Validate settings that were read from `origin`, usually a file; raises SettingsError."""
+    """Validate settings; raises SettingsError, whose message names `origin` as their source."""
     try:
         settings = msgspec.convert(raw, Settings)
     except msgspec.ValidationError as error:
--- a/src/crosscleat/wire/cloud.py
+++ b/src/crosscleat/wire/cloud.py
@@ -102,13 +102,13 @@
 
 def decode_machine_types(body: bytes) -> list[MachineType]:
     """Decode the response of GET /machine_types."""
-    return [rig.machine_type() for rig in _machine_types_decoder.decode(body).rigs]
+    return [entry.machine_type() for entry in _machine_types_decoder.decode(body).rigs]
 
 
 def decode_machine_page(body: bytes) -> MachinePage:
     """Decode the response of GET /rentals."""
     page = _machine_list_decoder.decode(body)
-    return MachinePage([box.machine() for box in page.boxes], page.more)
+    return MachinePage([entry.machine() for entry in page.boxes], page.more)
 
 
 def decode_rental(body: bytes) -> list[str]:
--- a/src/crosscleat/wire/peers.py
+++ b/src/crosscleat/wire/peers.py
@@ -21,7 +21,7 @@
 
 
 class Ping(msgspec.Struct, array_like=True, tag="ping", frozen=True):
-    """Tells a peer that the sender is alive, and whether the key-value store answers the sender."""
+    """The sender is running; `store_available`: whether the key-value store answers the sender."""
 
     store_available: bool
 
@@ -34,7 +34,7 @@
 
 
 class Relayed(msgspec.Struct, array_like=True, tag="relayed", frozen=True):
-    """The receiver's HTTP response to the Relay of the same number."""
+    """The HTTP response to the heartbeat in the Relay of the same number."""
 
     number: int
     status: int
@@ -54,13 +54,13 @@
 
 
 class ShardProposed(msgspec.Struct, array_like=True, tag="proposed", frozen=True):
-    """The reply to a ShardRequest: the proposed assignments."""
+    """The assignments that a controller proposes for the shard of a ShardRequest."""
 
     proposal: ShardProposal
 
 
 class IndirectProbe(msgspec.Struct, array_like=True, tag="probe", frozen=True):
-    """Sent by the leader: asks for the status of a worker whose heartbeats do not reach it."""
+    """The leader's request for the status of a worker whose heartbeats do not reach the leader."""
 
     address: str
     token: int
@@ -68,7 +68,7 @@
 
 
 class ProbeReply(msgspec.Struct, array_like=True, tag="probed", frozen=True):
-    """The reply to an IndirectProbe: the worker's status, with the body as it was received."""
+    """Sent after an IndirectProbe: the worker's status, with the body as it was received."""
 
     body: bytes
 
--- a/src/crosscleat/wire/state.py
+++ b/src/crosscleat/wire/state.py
@@ -125,7 +125,7 @@
 
 
 def encode_transaction(commits: list[Commit]) -> bytes:
-    """Encode the request body of POST /commit: one transaction of all these commits."""
+    """Encode the request body of POST /commit, which applies all of these commits or none."""
     conditions = {key: version for commit in commits for key, version in commit.conditions}
     return _encoder.encode(
         {
@@ -143,6 +143,6 @@
     return {"set": write.key, "data": write.value, "permit": write.lease}
 
 
-def encode_lease_request(life_s: float) -> bytes:
-    """Encode the request body of POST /grants, for a lease of `life_s` seconds."""
-    return _encoder.encode({"life_ms": int(life_s * 1000)})
+def encode_lease_request(ttl_s: float) -> bytes:
+    """Encode the request body of POST /grants, for a lease that expires after `ttl_s` seconds."""
+    return _encoder.encode({"life_ms": int(ttl_s * 1000)})
--- a/src/crosscleat/wire/users.py
+++ b/src/crosscleat/wire/users.py
@@ -14,7 +14,7 @@
 from ..core.model.ids import Image, JobRef, Team, TypeName, Zone, is_job_ref
 from ..core.model.job_spec import JobSpec, Priority, Shape
 
-MAX_BYTES = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 MAX_TASKS = 100_000
 
 Amount = Annotated[float, Meta(ge=0.0, le=1e12)]
@@ -107,15 +107,15 @@
 def _within_size_limit(body: bytes) -> bool:
     """Whether the body keeps to the size limit, which applies to its length as JSON.
 
-    JSON is seldom more than four times as long as MessagePack, so only a body of more than a
-    quarter of the limit is encoded as JSON to measure it.
+    JSON is seldom more than four times as long as MessagePack. Therefore a body is converted to
+    JSON and measured only if it is longer than a quarter of the limit.
     """
-    if len(body) > MAX_BYTES:
+    if len(body) > MAX_BODY_BYTES:
         return False
-    if len(body) * 4 <= MAX_BYTES:
+    if len(body) * 4 <= MAX_BODY_BYTES:
         return True
     try:
-        return len(msgspec.json.encode(_untyped_decoder.decode(body))) <= MAX_BYTES
+        return len(msgspec.json.encode(_untyped_decoder.decode(body))) <= MAX_BODY_BYTES
     except (TypeError, ValueError):
         return False
 
--- a/src/crosscleat/wire/workers.py
+++ b/src/crosscleat/wire/workers.py
@@ -58,7 +58,7 @@
 
 
 class HeartbeatReply(msgspec.Struct, frozen=True):
-    """The HTTP response to a heartbeat, from this controller or the peer it was relayed to."""
+    """The HTTP response to a heartbeat, made here or by the peer that it was relayed to."""
 
     status: int
     body: bytes
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
 """Configures Hypothesis to generate the same inputs in every run, without a time limit for each.
 
-The failures that `KNOWN-RED.txt` lists are expected.
+The failures that `KNOWN-RED.txt` lists do not fail the run.
 """
 
 import pytest
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -28,7 +28,7 @@
 
     test: str
     command: str
-    """A command that shows the failure, with its seed if anything is drawn."""
+    """A command that reproduces the failure, with its seed if the test uses random values."""
     seen: str
     issue: str
 
@@ -50,7 +50,7 @@
 
 
 def _parse_line(number: int, line: str) -> KnownFailure:
-    """Raises pytest.UsageError that gives the line number and the first missing field."""
+    """Parse an entry; raises pytest.UsageError that names the line and the first missing field."""
     parts = [part.strip() for part in line.split("|")]
     if len(parts) > len(FIELDS):
         raise pytest.UsageError(
@@ -97,7 +97,7 @@
             if failure is not None:
                 mark = pytest.mark.xfail(reason=f"listed in {LIST_FILE}: {failure}", strict=True)
                 item.add_marker(mark, append=False)
-        # Tests of a module that cannot be imported are missing too; that error fails the run.
+        # A module that cannot be imported lacks its tests too; pytest reports it and fails the run.
         if missing and _is_full_run(config) and not session.testsfailed:
             raise pytest.UsageError(f"{LIST_FILE}: listed tests do not exist: {', '.join(missing)}")
 
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -216,7 +216,7 @@
 
 
 def test_a_rental_is_written_and_its_response_read() -> None:
-    order = Rent(
+    rental = Rent(
         name="c0-17",
         type="small",
         zone="north",
@@ -224,7 +224,7 @@
         count=3,
         continuation=lambda _names: None,
     )
-    assert unpack(cloud.encode_rental(order)) == {
+    assert unpack(cloud.encode_rental(rental)) == {
         "hire": "c0-17", "rig": "small", "yard": "north", "loaners": True, "number": 3,
     }  # fmt: skip
     assert cloud.decode_rental(pack({"boxes": ["m-1", "m-2"]})) == ["m-1", "m-2"]
--- a/tests/test_encoded_jobs.py
+++ b/tests/test_encoded_jobs.py
@@ -219,9 +219,9 @@
 
 
 async def _get(fixed_response: Response) -> tuple[int, bytes]:
-    with socket.socket() as unused:
-        unused.bind(("127.0.0.1", 0))
-        address = f"127.0.0.1:{unused.getsockname()[1]}"
+    with socket.socket() as temporary_socket:
+        temporary_socket.bind(("127.0.0.1", 0))
+        address = f"127.0.0.1:{temporary_socket.getsockname()[1]}"
     await HttpServer(_FixedResponseService(fixed_response), 10).start(address)
     async with (
         aiohttp.ClientSession() as session,
--- a/tests/test_encoded_settings.py
+++ b/tests/test_encoded_settings.py
@@ -1,4 +1,4 @@
-"""Names that operators write: settings, flags, environment variables and the service's file.
+"""Names that operators write: settings, flags, environment variables and deploy/service.toml.
 
 A Python identifier that is renamed could change one of these names, and existing files and commands
 would no longer work. The samples are literal, so that they do not follow a renamed identifier.
@@ -262,7 +262,7 @@
     assert main(["--config", str(path), "--check"]) == status
 
 
-# The service's file
+# The service file
 
 
 def test_the_service_file_has_the_build_and_run_commands() -> None:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -96,7 +96,7 @@
 
 
 def test_any_number_of_listed_failures_is_passed_over(pytester: pytest.Pytester) -> None:
-    # The number of entries is not limited; an earlier limit of three was withdrawn.
+    # The number of entries is not limited: the operators withdrew an earlier limit of three.
     numbers = range(2, 12)
     module = MODULE.replace("[1, 2]", str(list(numbers)))
     entries = "".join(f"test_some.py::test_bad[{n}] | {RUN} | cause {n} | #{n}\n" for n in numbers)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,7 +1,8 @@
 """Reading the settings file, flags and environment variables.
 
-A value that is missing or invalid must stop a controller at its start, with one line that names the
-setting. Otherwise it would fail later, or run with limits that the platform does not grant.
+A controller must not start with a missing or invalid value: it exits with one line that names the
+setting. Of each limit of the store, the stricter of its present and next value applies; otherwise
+something would be written that the store rejects after it switches its limits.
 """
 
 from __future__ import annotations
