--- a/src/crosscleat/core/model/cloud_calls.py
+++ b/src/crosscleat/core/model/cloud_calls.py
@@ -10,13 +10,13 @@
 
 
 class ListTypes(msgspec.Struct, frozen=True):
-    """Read the machine types with their current prices; the result is None without an answer."""
+    """Read the machine types and current prices; the result is None if the cloud did not answer."""
 
     continuation: Callable[[list[MachineType] | None], None]
 
 
 class ListMachines(msgspec.Struct, frozen=True):
-    """Read the whole machine list; the result is None without an answer."""
+    """Read the whole machine list; the result is None if the cloud did not answer."""
 
     continuation: Callable[[list[ListedMachine] | None], None]
 
--- a/src/crosscleat/core/model/heartbeats.py
+++ b/src/crosscleat/core/model/heartbeats.py
@@ -45,6 +45,7 @@
 CAUSES = frozenset(
     (DONE, STOPPED, ERROR, NO_CAPACITY, "busy", "no_such", GANG_MEMBER_LOST, INCOMPLETE)
 )
+"""Exit causes known to this version."""
 
 
 class TaskStatus(msgspec.Struct, frozen=True):
--- a/src/crosscleat/core/model/ids.py
+++ b/src/crosscleat/core/model/ids.py
@@ -30,7 +30,10 @@
 """Revision of a key's last change in the store; 0 means that the key does not exist."""
 
 Token = NewType("Token", int)
-"""Fencing token: the version of the leader key. Workers refuse lower ones than they have seen."""
+"""Fencing token: the version of the leader key.
+
+Workers refuse tokens that are lower than the highest one they have seen.
+"""
 
 Attempt = NewType("Attempt", int)
 """Number of an attempt of a task, starting at 1."""
--- a/src/crosscleat/core/model/job_spec.py
+++ b/src/crosscleat/core/model/job_spec.py
@@ -25,7 +25,7 @@
     ARRAY = 0
     """Independent tasks, each of which runs to completion."""
     GANG = 1
-    """Tasks that only run all together."""
+    """Tasks that run together or not at all."""
     SERVICE = 2
     """Tasks that are run like those of an array.
 
--- a/src/crosscleat/core/model/shards.py
+++ b/src/crosscleat/core/model/shards.py
@@ -44,7 +44,8 @@
     machines: tuple[MachineView, ...]
     shares: dict[Team, tuple[float, float]]
     """CPUs and GPUs of each team's limit that the shard may use; a missing team has none."""
-    reserve: float
+    urgent_reserve: float
+    """CPUs kept free by jobs below `Priority.HIGH`."""
     estimate_factors: dict[str, float]
     """Measured run time as a multiple of the estimate, by job class."""
 
--- a/src/crosscleat/core/scheduling/gang_placement.py
+++ b/src/crosscleat/core/scheduling/gang_placement.py
@@ -12,7 +12,7 @@
 
 from ..model.deployment import Deployment
 from ..model.ids import Seconds, Zone
-from ..state.gangs import MAX_FETCH_TIME_FACTOR, start_delay_s
+from ..state.gangs import MAX_FETCH_TIME_FACTOR, order_delay_s
 from ..state.jobs import Job
 from .feasibility import Feasibility
 from .free_capacity import FreeCapacity, group_by_zone
@@ -134,7 +134,7 @@
 
     def _start_delay_s(self, job: Job, candidate: FreeCapacity) -> float:
         """Seconds until a task that is placed on the candidate now has its image."""
-        delay_s = start_delay_s(candidate.machine, self._deployment, self._feasibility.now)
+        delay_s = order_delay_s(candidate.machine, self._deployment, self._feasibility.now)
         return delay_s + self._feasibility.fetch_s(job, candidate)
 
     def _score(self, job: Job, candidates: list[FreeCapacity], start_s: float) -> float:
--- a/src/crosscleat/core/scheduling/shard_planning.py
+++ b/src/crosscleat/core/scheduling/shard_planning.py
@@ -45,7 +45,7 @@
     limits = {
         team: TeamLimits(team, 0.0, cpus, 0.0, gpus) for team, (cpus, gpus) in view.shares.items()
     }
-    context = CycleContext(cluster, limits, now, CycleReserves(urgent_cpus=view.reserve))
+    context = CycleContext(cluster, limits, now, CycleReserves(urgent_cpus=view.urgent_reserve))
     cycle = SchedulingCycle(context, Scorer(deployment, RunTimes(view.estimate_factors)), rng)
     assignments = cycle.plan(jobs, machines, MAX_ASSIGNMENTS, reservations)
     return ShardProposal(
--- a/src/crosscleat/core/state/allocations.py
+++ b/src/crosscleat/core/state/allocations.py
@@ -34,15 +34,18 @@
     zone: Zone
     agent_epoch: AgentEpoch
     recorded: bool = False
-    """The placement is in the store, so the start order may be sent."""
+    """Whether the placement is in the store; the start order is only sent then."""
     in_last_heartbeat: bool = False
     """Whether the machine's newest heartbeat lists the attempt."""
     task_state: str = ""
     """The state in the newest heartbeat that listed the attempt: one of `heartbeats.STATES`."""
     stopping: bool = False
-    """Start orders are no longer sent; stop orders are sent while heartbeats list the attempt."""
+    """Whether the attempt is being stopped.
+
+    Its start order is no longer sent, and a stop order is sent while heartbeats list it.
+    """
     being_replaced: bool = False
-    """Only this task of its gang is stopped; the gang waits for a replacement elsewhere."""
+    """Whether only this task of its gang is stopped; the gang waits for a replacement elsewhere."""
     grace_s: float = 0.0
     """Time in seconds that a stopped attempt has to save its progress."""
     start_sent_at_sequence: int = 0
--- a/src/crosscleat/core/state/batch.py
+++ b/src/crosscleat/core/state/batch.py
@@ -22,7 +22,7 @@
     """The writes and conditions of one transaction, kept within the limits of the store."""
 
     def __init__(self, token: int, max_writes: int) -> None:
-        """Create a transaction on condition that the leader key still has the version `token`."""
+        """Begin a transaction that requires that the leader key still has the version `token`."""
         self.conditions: dict[str, Version] = {LEADER: Version(token)}
         self.writes: list[Put | Remove] = []
         self.decommissioned: list[Machine] = []
@@ -76,7 +76,8 @@
     def add_record(self, record: PlacementRecord) -> None:
         """Write the record if the limits allow it.
 
-        The live record of each job with an attempt that is not stored yet must be unchanged.
+        The transaction then also requires that the live record of each job that has an attempt
+        which is not stored yet is unchanged.
         """
         starting_jobs = [job for job, chunk in record.entries.values() if chunk.has_unrecorded()]
         if record in self.placement_records or record.size > self._bytes_left:
--- a/src/crosscleat/core/state/decommission_records.py
+++ b/src/crosscleat/core/state/decommission_records.py
@@ -39,7 +39,7 @@
         return f"{DECOMMISSIONED}{self.number}"
 
     def put_with(self, added: Iterable[MachineId]) -> Put:
-        """Return the write that adds these ids to the stored record; the record is not changed."""
+        """Return the write that adds these ids to the stored record; this object is not changed."""
         return Put(self.key, {"machines": [*self.machine_ids, *added]})
 
 
@@ -66,7 +66,7 @@
         ]
 
     def record_with_capacity(self) -> tuple[DecommissionRecord, int]:
-        """Return a record with capacity for more ids, and for how many; creates one if needed."""
+        """Return a record that can hold more ids, and how many more; creates one if needed."""
         for record in self._records.values():
             if len(record.machine_ids) < self._max_machine_ids // 2:
                 return record, self._max_machine_ids - len(record.machine_ids)
--- a/src/crosscleat/core/state/direct_channel.py
+++ b/src/crosscleat/core/state/direct_channel.py
@@ -9,7 +9,7 @@
 from .allocations import AttemptKey
 
 MAX_EXTRA_STARTS = 20
-"""Starts that may be remembered beyond twice the listed attempts before some are dropped."""
+"""Some starts are dropped once there are more than twice the listed attempts plus this number."""
 
 
 @dataclass(slots=True)
@@ -19,13 +19,13 @@
     in_flight: bool = False
     """Whether a direct command was sent whose outcome is not known yet."""
     pending_start_token: int = 0
-    """Highest fencing token of a direct start that may still be executed."""
+    """A direct start sent with this fencing token or a lower one may still be executed."""
     starts: dict[AttemptKey, Token] = field(default_factory=dict)
     """Attempts of this agent epoch whose start was sent directly, with its fencing token."""
     failures: int = 0
     """Number of consecutive direct commands that failed."""
     paused_until: Seconds = LONG_AGO
-    """After a failed direct command, orders are only sent in heartbeat responses until then."""
+    """Until this time, after a failed command, orders are only sent in heartbeat responses."""
 
     def drop_starts(
         self, listed: Collection[AttemptKey], allocated: Collection[AttemptKey]
--- a/src/crosscleat/core/state/gangs.py
+++ b/src/crosscleat/core/state/gangs.py
@@ -26,10 +26,10 @@
 """Exit causes of a task after which a replacement may still complete the attempt."""
 
 MAX_NOTICE_SHARE = 0.7
-"""A run continues if it is estimated to complete within this share of the notice period."""
+"""A run continues if it is estimated to complete within this share of the remaining notice time."""
 
 STOP_MARGIN_S = 1.0
-"""Part of a notice period that is reserved for the messages that stop a gang."""
+"""Part of the notice time that is reserved for the messages that stop a gang, in seconds."""
 
 HEARTBEAT_JITTER = 1.25
 """The time between two heartbeats is 1 to 1.25 times `heartbeat_interval_s`."""
@@ -42,7 +42,10 @@
     """The phase of a gang's attempt according to the newest heartbeats of its machines."""
 
     UNCONFIRMED = enum.auto()
-    """In this term, not every machine to which a start may have been sent is confirmed yet."""
+    """A machine to which a start may have been sent is not confirmed in this term yet.
+
+    This happens under a new leader; see `Machine.confirmed_in_term`.
+    """
     WAITING = enum.auto()
     RUNNING = enum.auto()
     STOPPING = enum.auto()
@@ -143,7 +146,7 @@
     return cause in REPLACEABLE and phase_of(others) in (Phase.WAITING, Phase.UNCONFIRMED)
 
 
-def start_delay_s(machine: Machine, deployment: Deployment, now: Seconds) -> float:
+def order_delay_s(machine: Machine, deployment: Deployment, now: Seconds) -> float:
     """Maximum delay until an order reaches the machine.
 
     It is 0 if direct commands are possible, else the time until the machine's next heartbeat.
@@ -158,7 +161,7 @@
     is_alive = now - machine.last_heartbeat_at <= max_interval_s + STOP_MARGIN_S
     if not is_alive or machine.unresponsive_since is not None:
         return False
-    delay_s = start_delay_s(machine, deployment, now)
+    delay_s = order_delay_s(machine, deployment, now)
     return delay_s + STOP_MARGIN_S <= deployment.gang_peer_s
 
 
--- a/src/crosscleat/core/state/jobs.py
+++ b/src/crosscleat/core/state/jobs.py
@@ -32,7 +32,7 @@
 )
 
 NO_ATTEMPT = Attempt(0)
-"""Placeholder for a task without attempts; the first attempt has the next number."""
+"""The number before that of the first attempt: a task with it was never attempted."""
 
 
 @dataclass(slots=True)
@@ -68,7 +68,7 @@
     attempts: dict[int, Attempt] = field(default_factory=dict)
     """The last attempt number of each task that was attempted and is not done."""
     recorded: frozenset[RecordedPlacement] = frozenset()
-    """The placements in the stored record."""
+    """The placements in the stored records."""
 
     def known_placements(self) -> frozenset[RecordedPlacement]:
         """The placements known to this process, whether stored or not."""
@@ -101,25 +101,25 @@
     retry_queue: list[int] = field(default_factory=list)
     """Stack of tasks that may be retried now; the last one is placed next."""
     delayed: list[tuple[Seconds, int]] = field(default_factory=list)
-    """Heap of tasks that may be retried later, by the earliest time for it."""
+    """Heap of tasks that may be retried later, ordered by the earliest time of the retry."""
     failures: dict[int, int] = field(default_factory=dict)
     """Number of failures of each task since it last completed."""
     failed_on: set[MachineId] = field(default_factory=set)
     has_completed_task: bool = False
     """Whether a task of the job has completed in this term."""
     chunks: dict[int, Chunk] = field(default_factory=dict)
-    gang_attempt: Attempt = NO_ATTEMPT
-    """For a gang: one less than the number of its current attempt."""
+    previous_gang_attempt: Attempt = NO_ATTEMPT
+    """For a gang: the attempt number before that of its current attempt."""
     progress: GangProgress = field(default_factory=GangProgress)
     """Only used for gangs."""
     idle_since: Seconds = LONG_AGO
     """When an attempt of the job last ended; earlier than its submission if none has."""
     at_risk: bool = False
-    """Whether the loss of a spot machine may well make the job late (`interruptions`)."""
+    """Whether the loss of a spot machine is likely to make the job late (`interruptions`)."""
     backfill: bool = False
     """Whether the job only uses capacity that others leave idle (`deployment.is_backfill`)."""
     needs_reread: bool = False
-    """Whether the live record is to be read again, since a write of ours found it changed."""
+    """Whether the live record must be read again because one of our writes found it changed."""
 
     def __post_init__(self) -> None:
         if not self.done:
@@ -142,7 +142,7 @@
 
     @property
     def is_gang(self) -> bool:
-        """Whether the job's tasks only run all together."""
+        """Whether the job's tasks run together or not at all."""
         return self.spec.shape is Shape.GANG
 
     @property
@@ -188,7 +188,7 @@
     def place(self, machine: MachineId, agent_epoch: AgentEpoch) -> tuple[TaskId, Attempt]:
         """Place a new attempt of the next task; it must be stored before a start is sent."""
         if self.is_gang and not self.placed_count():
-            self.gang_attempt = self._highest_attempt()
+            self.previous_gang_attempt = self._highest_attempt()
             self.progress.begin_attempt(self.spec)
         if self.retry_queue:
             index = self.retry_queue.pop()
@@ -197,7 +197,7 @@
             self.first_untried += 1
         chunk = self.chunk_of(index)
         # All tasks of a gang's attempt share its number, by which they find each other.
-        previous = self.gang_attempt if self.is_gang else chunk.attempts.get(index, 0)
+        previous = self.previous_gang_attempt if self.is_gang else chunk.attempts.get(index, 0)
         attempt = Attempt(previous + 1)
         chunk.attempts[index] = attempt
         chunk.placed[index] = Placement(attempt, machine, agent_epoch)
@@ -288,7 +288,7 @@
         """Determine which tasks are waiting, after all chunks are loaded."""
         self.done_count = sum(self.done)
         if self.is_gang and self.placed_count():
-            self.gang_attempt = Attempt(self._highest_attempt() - 1)
+            self.previous_gang_attempt = Attempt(self._highest_attempt() - 1)
         loaded_end = (max(self.chunks) + 1) * self.chunk_length if self.chunks else 0
         self.first_untried = min(loaded_end, self.spec.tasks)
         self.retry_queue = [
--- a/src/crosscleat/core/state/placement_records.py
+++ b/src/crosscleat/core/state/placement_records.py
@@ -23,7 +23,10 @@
 from .stored_placements import DEFAULT_CHUNK_LENGTH, StoredPlacements, encode_placements
 
 TASK_BYTES = 40
-"""Upper bound for the size of a task in a record in any state, encoded as the limits count it."""
+"""Upper bound for the size of a task in a record, whatever its state.
+
+It is the size as JSON, which the store's limits count.
+"""
 
 CHUNK_BYTES = 160
 """Upper bound for the size of a chunk without its tasks."""
@@ -100,9 +103,10 @@
     """All placement records, and the record that contains each chunk."""
 
     def __init__(self, value_kb: float, txn_ops: int, shorten_chunks: bool) -> None:
-        """Create the records; `shorten_chunks`: chunks may be shortened to fit into a value.
+        """Create an empty collection.
 
-        Older versions can't read shortened chunks.
+        `shorten_chunks`: whether chunks may be shortened to fit into a value; older versions can't
+        read shortened chunks.
         """
         self.chunk_length = chunk_length_for(value_kb) if shorten_chunks else DEFAULT_CHUNK_LENGTH
         fill = MAX_FILL if self.chunk_length < DEFAULT_CHUNK_LENGTH else TARGET_FILL
@@ -144,8 +148,8 @@
             first, last = tasks.number * length, (tasks.number + 1) * length
             for chunk in job.load_tasks(first, last, tasks.done, tasks.attempts):
                 if old is not None:
-                    # A chunk of the current length may have tasks from chunks of several records,
-                    # which are needed until it is rewritten.
+                    # A chunk of the current length may have tasks from chunks of several records.
+                    # These records are needed until the chunk is rewritten.
                     old.unwritten[job.ref, chunk.number] = None
                 else:
                     self._detach(job, chunk)
@@ -170,7 +174,7 @@
                 old.unwritten.pop(key, None)
 
     def take_rewritten(self) -> list[tuple[str, Version]]:
-        """Return the records whose tasks are all rewritten, each once; they can be removed."""
+        """Return the records whose tasks are all rewritten, each only once; they can be removed."""
         rewritten = [(old.key, old.version) for old in self._superseded if not old.unwritten]
         self._superseded = [old for old in self._superseded if old.unwritten]
         return rewritten
@@ -228,7 +232,10 @@
         )
 
     def deferrable(self) -> list[PlacementRecord]:
-        """Return records that can be written later: changed ones, and empty ones to be removed."""
+        """Return the changed records, and the empty ones to be removed.
+
+        Neither is urgent in itself; `awaited_by_starts` has the records that starts wait for.
+        """
         return [
             record
             for record in self
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -21,7 +21,7 @@
 
 
 def imported_modules(path: Path) -> Iterator[tuple[str, ...]]:
-    """The modules of crosscleat that a file imports, as absolute paths below the package."""
+    """Yield the modules that a file imports from crosscleat, each as its path in the package."""
     package = path.relative_to(ROOT).parent.parts
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -46,7 +46,7 @@
 
 
 def core_packages(path: Path) -> set[str]:
-    """The packages of the core that the file imports."""
+    """Return the packages of the core that the file imports."""
     return {parts[1] for parts in imported_modules(path) if parts[:1] == ("core",)}
 
 
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -313,7 +313,7 @@
         ),
     ),
     shares={Team("red"): (6.0, 8.0)},
-    reserve=0.5,
+    urgent_reserve=0.5,
     estimate_factors={"nightly": 1.25},
 )
 ENCODED_VIEW: list[Any] = [
