--- a/tests/test_outage_after_partition.py
+++ b/tests/test_outage_after_partition.py
@@ -13,7 +13,17 @@
 
 from crosscleat.core.model.ids import Team
 
-from .world import CANCEL_S, HEARTBEAT_S, LEASE_S, MEMBERS, World, at_work, job, leader_of, running
+from .world import (
+    CANCEL_S,
+    HEARTBEAT_S,
+    LEASE_S,
+    MEMBERS,
+    World,
+    job,
+    leader_of,
+    running,
+    world_with_long_job,
+)
 
 RENEW_S = CANCEL_S - LEASE_S
 BOUNDS = (RENEW_S, CANCEL_S - HEARTBEAT_S, CANCEL_S, RENEW_S + CANCEL_S)
@@ -22,7 +32,7 @@
 
 def cancel_through_others(world: World, leader: str, ref: str) -> None:
     """Cancel a job through the followers, which the store serves, and not through the leader."""
-    world.serving = [member for member in MEMBERS if member != leader]
+    world.cancellation_members = [member for member in MEMBERS if member != leader]
     world.users.cancel(ref)
 
 
@@ -69,7 +79,7 @@
     drift: float,
     crash: str | None,
 ) -> None:
-    world = at_work(estimate_s=200.0, for_s=20.0)
+    world = world_with_long_job(estimate_s=200.0, elapsed_s=20.0)
     world.users.submit(job("job-kept", tasks=2, estimate_s=200.0, team=Team("blue")))
     world.clock.advance(10.0)
     world.cloud_down = True
@@ -102,7 +112,7 @@
 def test_tasks_that_are_not_cancelled_run_until_the_renewal_deadline(
     until_out_s: float,
 ) -> None:
-    world = at_work(estimate_s=200.0, for_s=20.0)
+    world = world_with_long_job(estimate_s=200.0, elapsed_s=20.0)
     world.cloud_down = True
     gap(world, until_out_s, CANCEL_S, [])
 
@@ -114,7 +124,7 @@
 
 
 def test_a_short_outage_ends_no_task() -> None:
-    world = at_work(estimate_s=200.0, for_s=20.0)
+    world = world_with_long_job(estimate_s=200.0, elapsed_s=20.0)
     gap(world, 1.0, RENEW_S - 4.0, [])
 
     world.clock.advance(CANCEL_S)
@@ -124,7 +134,7 @@
 
 def test_contact_by_a_lease_renewal_alone_extends_no_worker_lease() -> None:
     """After an outage, the leader renews its lease before it has read the cancellations."""
-    world = at_work(estimate_s=200.0, for_s=20.0)
+    world = world_with_long_job(estimate_s=200.0, elapsed_s=20.0)
     world.cloud_down = True
     leader = gap(world, 1.0, 12.0, ["job-long"])
     world.store.refused_until.clear()
@@ -144,7 +154,7 @@
     It is still reading the other records then, and an outage begins before its first watch gets a
     reply, so it never learns of the cancellations.
     """
-    world = at_work(estimate_s=200.0, for_s=20.0)
+    world = world_with_long_job(estimate_s=200.0, elapsed_s=20.0)
     world.cloud_down = True
     old = leader_of(world)
     world.slow_scans[scan] = LEASE_S - 3.0
