--- a/tests/drawn_days.py
+++ b/tests/drawn_days.py
@@ -16,7 +16,7 @@
 from .test_rules import Rules
 
 
-def run_days(number: int, days: int, steps: int) -> str | None:
+def run_days(seed_number: int, days: int, steps: int) -> str | None:
     """Run the days drawn from this seed; return the first failure and its day, or None."""
     days_begun = 0
 
@@ -28,7 +28,7 @@
             days_begun += 1
             super().__init__()
 
-    seed(number)(CountedRules)
+    seed(seed_number)(CountedRules)
     run_settings = settings(
         max_examples=days,
         stateful_step_count=steps,
@@ -55,11 +55,12 @@
     parser.add_argument("--steps", type=int, default=40, help="number of actions of each day")
     arguments = parser.parse_args()
     failed = 0
-    for number in range(arguments.seed, arguments.seed + arguments.seeds):
-        failure = run_days(number, arguments.days, arguments.steps)
+    for seed_number in range(arguments.seed, arguments.seed + arguments.seeds):
+        failure = run_days(seed_number, arguments.days, arguments.steps)
         failed += failure is not None
         print(
-            f"seed {number}, {arguments.days} days of {arguments.steps} actions:", failure or "ok"
+            f"seed {seed_number}, {arguments.days} days of {arguments.steps} actions:",
+            failure or "ok",
         )
     return 1 if failed else 0
 
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -50,8 +50,8 @@
     for _ in range(2):
         world.end_leader(0.05)
         world.clock.advance(apart_s)
-    for back_s, member in zip((0.2, 5.0, 30.0), MEMBERS, strict=True):
-        world.crash(member, back_s)
+    for restart_delay_s, member in zip((0.2, 5.0, 30.0), MEMBERS, strict=True):
+        world.crash(member, restart_delay_s)
     world.clock.advance(apart_s)
     world.end_leader(0.1)
     world.clock.advance(6.0)
@@ -322,14 +322,14 @@
 
 
 @seeds
-@pytest.mark.parametrize("away_s", [LEASE_S - 1.0, LEASE_S + 6.0, CANCEL_S + LEASE_S])
-def test_all_controllers_are_down(seed: int, away_s: float) -> None:
+@pytest.mark.parametrize("downtime_s", [LEASE_S - 1.0, LEASE_S + 6.0, CANCEL_S + LEASE_S])
+def test_all_controllers_are_down(seed: int, downtime_s: float) -> None:
     world = world_with_jobs(seed, estimate_s=40.0)
     world.users.cancel("job-0")
     world.clock.advance(0.3)
     for number, member in enumerate(MEMBERS):
-        world.crash(member, away_s + 0.2 * number)
-    world.clock.advance(away_s + 3.0)
+        world.crash(member, downtime_s + 0.2 * number)
+    world.clock.advance(downtime_s + 3.0)
     world.finish()
 
 
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -78,7 +78,8 @@
     world.network.heal()
     world.clock.advance(1.0 + 3.0 * seed)
     if fault == "none":
-        # After the upgrade of the last controller a new term begins, which uses smaller chunks.
+        # The term in which the last controller was upgraded has ended, and the next uses shorter
+        # chunks.
         (leader,) = [
             p.controller.leader for p in world.processes.values() if p and p.controller.leader
         ]
--- a/tests/world/__init__.py
+++ b/tests/world/__init__.py
@@ -1,7 +1,7 @@
 """A simulated deployment: store, cloud, workers, users, a faulty network and a simulated clock.
 
-Three controller cores run in it. The rules of the protocol are checked whenever an event could
-break one of them, without any knowledge of how the controllers decide.
+Three controller cores run in it. The rules of the protocol are checked at each start of a task, at
+each response to a user and periodically, without any knowledge of how the controllers decide.
 
 Modules:
 
--- a/tests/world/effects.py
+++ b/tests/world/effects.py
@@ -141,6 +141,7 @@
         self.world.cloud.call(caller.member, effect, caller.reply_callback(effect))
 
     def probe(self, member: str, other: str, probe: IndirectProbe) -> None:
+        """Let `other` probe a worker, and send the worker's heartbeat to `member`."""
         if self.world.processes[other] is None:
             return
 
--- a/tests/world/gangs.py
+++ b/tests/world/gangs.py
@@ -30,7 +30,10 @@
         ]
 
     def start_when_complete(self, ref: str, attempt: int) -> None:
-        """Start the gang once all its tasks are waiting; all tasks then run for the same time."""
+        """Start the gang once all its tasks are waiting; they end together, with the slowest.
+
+        The slowest possible task takes 1.5 times the estimate, as in `Worker.advance_task`.
+        """
         members = self.members(ref, attempt)
         spec = self.world.specs[ref]
         if len(members) < spec.tasks or any(
@@ -66,6 +69,7 @@
         self.world.clock.after(0.5, self.monitor_gangs)
 
     def monitor_gang(self, spec: JobSpec, members: list[tuple[Worker, TaskId, WorkerTask]]) -> None:
+        """Exit the tasks that have waited too long for their gang, or run too long without it."""
         present = sum(1 for worker, _, _ in members if not worker.hung)
         for worker, _, worker_task in members:
             if worker.hung:
--- a/tests/world/network.py
+++ b/tests/world/network.py
@@ -22,7 +22,10 @@
         self._held: list[tuple[frozenset[str], Callable[[], None]]] = []
 
     def cut(self, host: str, other_host: str, mode: str) -> None:
-        """Stop messages in both directions; `mode` is "hold" or "reset"."""
+        """Stop messages in both directions.
+
+        With mode "hold" they are delivered after the cut, with "reset" `send` refuses them.
+        """
         self._cuts[frozenset((host, other_host))] = mode
 
     def heal(self) -> None:
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -1,6 +1,6 @@
-"""Checks of the protocol's rules.
+"""Checks of the protocol's rules, when a task starts and periodically.
 
-Where a task starts they are checked for that task, and otherwise periodically.
+The rules on responses to users are checked in `users`, and those on starts of gangs in `gangs`.
 """
 
 from __future__ import annotations
@@ -75,9 +75,11 @@
             raise RuleBrokenError(f"quota: {spec.team} uses {used}")
 
     def check_running(self) -> None:
-        """Every 0.5 s: raise if a cancelled task is overdue, or a record is unreadable.
+        """Every 0.5 s: raise if a cancelled job still runs, or a record is unreadable.
 
-        The old version cannot read placement records with a "span".
+        The tasks of a job must end within `CANCEL_S` after a user got its status "aborted". The old
+        version cannot read placement records with a "span", but may lead until the last controller
+        is upgraded.
         """
         for key, (value, _, _) in self.world.store.items.items():
             if self.world.old_version and key.startswith("work/") and "span" in value:
@@ -93,10 +95,10 @@
         self.world.clock.after(0.5, self.check_running)
 
     def check_waiting(self, since: dict[str, float]) -> None:
-        """Every second, once all faults have ended: raise if a job waits long for no reason.
+        """Every second, once all faults have ended: raise if a job waits too long.
 
-        That is, a machine has had free capacity for one of its tasks for longer than `MAX_WAIT_S`.
-        `since` maps each job that waits so to the start of its wait.
+        It may wait for up to `MAX_WAIT_S` while a machine has free capacity for one of its tasks.
+        `since` maps each job in this state to the time at which the state began.
         """
         for ref, spec in self.world.specs.items():
             is_waiting = ref in self.world.accepted and ref not in self.world.cancel_requested
--- a/tests/world/scenario.py
+++ b/tests/world/scenario.py
@@ -24,7 +24,7 @@
 GANG_PEER_S = 3.0
 TICK_S = 0.2
 MAX_WAIT_S = 90.0
-"""Maximum time in seconds that a job may wait, without faults, while a machine has room for it."""
+"""Maximum time in seconds that a job may wait, without faults, while it fits on a machine."""
 USER_TIMEOUT_S = 2.0
 SUBMIT_TIMEOUT_S = 5.0
 STORE_TIMEOUT_S: dict[type, float] = {
--- a/tests/world/store.py
+++ b/tests/world/store.py
@@ -31,7 +31,7 @@
         self.rejected_for_size = 0
         """Number of transactions rejected because they exceed the limits."""
         self.refused_until: dict[str, float] = {}
-        """Controllers that the store does not serve, with the end of that time."""
+        """The time until which the store does not serve a controller, by controller."""
         self.revision = 0
         self.items: dict[str, tuple[Any, int, int | None]] = {}
         """Value, version and lease of each key."""
--- a/tests/world/store_calls.py
+++ b/tests/world/store_calls.py
@@ -98,7 +98,8 @@
         Either the caller gets no reply, or a retry of the same commit is executed and answered.
         """
         delay = self.world.rng.choice((0.0, 0.3, 5.0, 60.0))
-        # The store can execute a delayed call only after its outage.
+        # A store can execute a delayed call only after its outage; the delay drawn here does not
+        # depend on outages.
         self.world.clock.after(delay, lambda: self.world.store.commit(effect, True))
         if self.world.rng.random() < 0.5:
             self.world.clock.after(1.0, lambda: reply(Unanswered()))
--- a/tests/world/users.py
+++ b/tests/world/users.py
@@ -25,7 +25,7 @@
         self.world = world
 
     def submit(self, spec: JobSpec, tries: int = 20) -> None:
-        """Submit a job, and again with the same reference until it is accepted."""
+        """Submit a job, and up to `tries` times again with the same reference until accepted."""
         self.world.specs[spec.ref] = spec
         sent_at = self.world.clock.now
 
@@ -42,7 +42,8 @@
                 )
 
         member = self.world.rng.choice(MEMBERS)
-        # Its tasks may start as soon as the store holds the job, before the user gets the response.
+        # `Rules.check_start` requires that the job is accepted, and its tasks may start as soon as
+        # the store holds the job, before the user gets the response.
         self.accept_once_stored(spec.ref)
         self.world.request(member, lambda n: SubmitJob(n, spec), on_response)
         if tries > 0:
@@ -51,6 +52,7 @@
             )
 
     def resubmit_unless_accepted(self, spec: JobSpec, tries: int) -> None:
+        """Submit the job again; if it is accepted, only with a probability of 0.05."""
         if spec.ref not in self.world.accepted or self.world.rng.random() < 0.05:
             self.submit(spec, tries - 1)
 
@@ -98,7 +100,7 @@
         )
 
     def task_completed(self, task: TaskId) -> None:
-        """Note that a task has completed; after the last one a user may cancel the job."""
+        """Handle the completion of a task; after the last one a user may cancel the job."""
         unfinished = any(
             TaskId(task.job, n) not in self.world.results
             for n in range(self.world.specs[task.job].tasks)
@@ -115,7 +117,7 @@
             self.world.clock.after(5.0, lambda: self.poll_for(ref, seconds - 5.0))
 
     def cancel(self, ref: str, tries: int = 30) -> None:
-        """Cancel a job, and again every second until its final status is known."""
+        """Cancel a job, and up to `tries` times again, each second, until its status is final."""
         self.world.cancel_requested.add(ref)
         sent_at = self.world.clock.now
 
--- a/tests/world/worker.py
+++ b/tests/world/worker.py
@@ -57,6 +57,7 @@
     lease_renewed_at: float = 0.0
     controller_index: int = 0
     heartbeat_number: int = 0
+    """Changes with each heartbeat, response and restart, so that late responses are ignored."""
     reclaimed_at: float | None = None
     faulty: bool = False
     tasks: dict[tuple[TaskId, int], WorkerTask] = field(default_factory=dict)
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -61,12 +61,15 @@
         self.network = Network(self.clock, self.rng)
         self.store = Store(self.clock)
         self.members = list(MEMBERS)
+        """Controllers in the order in which workers try them for heartbeats."""
         self.cancellation_members = list(MEMBERS)
         """Controllers to which users send cancellations."""
         self.workers: dict[str, Worker] = {}
         self.specs: dict[str, JobSpec] = {}
         self.results: set[TaskId] = set()
+        """Tasks that have completed."""
         self.accepted: set[str] = set()
+        """Jobs that the store has held, or that a user was told are accepted."""
         self.cancel_confirmed_at: dict[str, float] = {}
         """When a user first received the status "aborted" of the job."""
         self.cancel_requested: set[str] = set()
@@ -126,6 +129,7 @@
         self.clock.after(restart_delay_s, lambda: self.start_controller(member))
 
     def leading(self) -> list[str]:
+        """The controllers that hold the leadership according to their own state."""
         return [m for m, p in self.processes.items() if p and p.controller.election.leading]
 
     def end_leader(self, restart_delay_s: float) -> None:
@@ -151,7 +155,7 @@
     def tick(self, member: str, process: Process) -> None:
         if process.alive:
             self.deliver(member, process, Tick())
-            # All timers that expired while it was frozen or busy fire in one tick.
+            # Ticks are skipped while it is frozen or busy: timers that expired meanwhile fire once.
             pause = max(TICK_S, process.free_at - self.clock.now)
             self.clock.after(pause, lambda: self.tick(member, process))
 
@@ -219,7 +223,7 @@
         self.store.refused_until.clear()
 
     def finish(self) -> None:
-        """End all faults, and check that queries for the accepted jobs succeed and the jobs end.
+        """End all faults; check that each accepted job is found by a query, and ends in time.
 
         Controllers of the old version are upgraded first. Jobs whose tasks always fail are
         cancelled, and need not end.
@@ -254,7 +258,7 @@
 
 
 def world_with_long_job(estimate_s: float, elapsed_s: float, seed: int = 3) -> World:
-    """A world that has run one long job, "job-long", for a while, without faulty machines."""
+    """A world whose machines have run "job-long" for a while, and none of them is faulty."""
     world = World(seed)
     world.clock.advance(3.0)
     world.users.submit(job("job-long", tasks=3, estimate_s=estimate_s, team=Team("blue")))
