--- a/tests/test_isolated.py
+++ b/tests/test_isolated.py
@@ -42,66 +42,70 @@
 
 
 @pytest.fixture
-def busy() -> World:
+def busy_world() -> World:
     """A world in which long tasks run, and no machine is faulty."""
     world = world_with_long_job(estimate_s=400.0, elapsed_s=20.0, seed=4)
     assert running(world, "job-long") == 3
     return world
 
 
-def test_a_cancellation_through_a_follower_ends_tasks_of_an_isolated_leader(busy: World) -> None:
+def test_a_cancellation_through_a_follower_ends_tasks_of_an_isolated_leader(
+    busy_world: World,
+) -> None:
     # Machines cannot be deleted either, so only lease expiry can end the tasks in time.
-    busy.cloud_down = True
-    isolate(busy, leader_of(busy))
-    busy.clock.advance(6.0)
-    busy.users.cancel("job-long")
+    busy_world.cloud_down = True
+    isolate(busy_world, leader_of(busy_world))
+    busy_world.clock.advance(6.0)
+    busy_world.users.cancel("job-long")
 
-    busy.clock.advance(CANCEL_S + 5.0)
+    busy_world.clock.advance(CANCEL_S + 5.0)
 
-    assert busy.final_statuses["job-long"] == "aborted"
-    assert running(busy, "job-long") == 0
+    assert busy_world.final_statuses["job-long"] == "aborted"
+    assert running(busy_world, "job-long") == 0
 
 
-def test_a_leader_without_heartbeats_resigns_and_deletes_no_machine(busy: World) -> None:
-    old = leader_of(busy)
-    for worker in list(busy.workers):
-        busy.network.cut(old, worker, "hold")
+def test_a_leader_without_heartbeats_resigns_and_deletes_no_machine(busy_world: World) -> None:
+    old = leader_of(busy_world)
+    for worker in list(busy_world.workers):
+        busy_world.network.cut(old, worker, "hold")
     for other in MEMBERS:
         if other != old:
-            busy.network.cut(old, other, "hold")
-    before = {name for name, worker in busy.workers.items() if worker.dead}
+            busy_world.network.cut(old, other, "hold")
+    before = {name for name, worker in busy_world.workers.items() if worker.dead}
 
-    busy.clock.advance(12.0)
+    busy_world.clock.advance(12.0)
 
-    assert leader_of(busy) != old
-    assert {name for name, worker in busy.workers.items() if worker.dead} == before
-    assert running(busy, "job-long") == 3
+    assert leader_of(busy_world) != old
+    assert {name for name, worker in busy_world.workers.items() if worker.dead} == before
+    assert running(busy_world, "job-long") == 3
 
 
-def test_an_isolated_leader_renews_leases_for_a_while(busy: World) -> None:
-    busy.cloud_down = True
-    isolate(busy, leader_of(busy))
+def test_an_isolated_leader_renews_leases_for_a_while(busy_world: World) -> None:
+    busy_world.cloud_down = True
+    isolate(busy_world, leader_of(busy_world))
 
-    busy.clock.advance(LEASE_S + 4.0)
+    busy_world.clock.advance(LEASE_S + 4.0)
 
-    assert running(busy, "job-long") == 3, "a shorter outage must not end tasks"
+    assert running(busy_world, "job-long") == 3, "a shorter outage must not end tasks"
 
 
-def test_a_successor_waits_until_an_isolated_leader_can_no_longer_renew_leases(busy: World) -> None:
-    busy.cloud_down = True
-    old = leader_of(busy)
-    isolate(busy, old)
+def test_a_successor_waits_until_an_isolated_leader_can_no_longer_renew_leases(
+    busy_world: World,
+) -> None:
+    busy_world.cloud_down = True
+    old = leader_of(busy_world)
+    isolate(busy_world, old)
     # With free capacity elsewhere, only the missing proof that the tasks ended prevents a second
     # start.
     for zone in ("a", "b"):
-        busy.cloud.add_machine("large", zone, False)
-    busy.clock.advance(CANCEL_S - LEASE_S)
-    assert leader_of_others(busy, old)
-    assert busy.start_count == 3
+        busy_world.cloud.add_machine("large", zone, False)
+    busy_world.clock.advance(CANCEL_S - LEASE_S)
+    assert leader_of_others(busy_world, old)
+    assert busy_world.start_count == 3
 
     # The world raises ran_twice if a task is started again while it still runs on its old machine.
-    busy.clock.advance(60.0)
-    assert busy.start_count > 3, "the lost tasks must start elsewhere in the end"
+    busy_world.clock.advance(60.0)
+    assert busy_world.start_count > 3, "the lost tasks must start elsewhere in the end"
 
 
 def leader_of_others(world: World, old: str) -> bool:
@@ -131,26 +135,26 @@
 
 
 @pytest.mark.parametrize("cut", [False, True])
-def test_a_live_leader_that_its_peers_believe_dead(busy: World, cut: bool) -> None:
+def test_a_live_leader_that_its_peers_believe_dead(busy_world: World, cut: bool) -> None:
     """Incident inc-2b0c: a filter between the controllers refused connections.
 
     The followers took the leader for dead and revoked its lease, while it still reached its
     workers.
     """
-    former, started = leader_of(busy), busy.start_count
-    term = token_of(busy, former)
+    former, started = leader_of(busy_world), busy_world.start_count
+    term = token_of(busy_world, former)
     for member in MEMBERS:
         if member != former:
             if cut:
-                busy.network.cut(former, member, "reset")
-            busy.report_unreachable(member, former)
-    busy.clock.advance(6.0)
-    assert token_of(busy, leader_of(busy)) > term, "a new term must have begun"
-    assert busy.start_count == started, "running tasks continue"
-    assert running(busy, "job-long") == 3
-
-    busy.users.cancel("job-long")
-    busy.clock.advance(CANCEL_S + 1.0)
-    assert running(busy, "job-long") == 0
-
-    busy.finish()
+                busy_world.network.cut(former, member, "reset")
+            busy_world.report_unreachable(member, former)
+    busy_world.clock.advance(6.0)
+    assert token_of(busy_world, leader_of(busy_world)) > term, "a new term must have begun"
+    assert busy_world.start_count == started, "running tasks continue"
+    assert running(busy_world, "job-long") == 3
+
+    busy_world.users.cancel("job-long")
+    busy_world.clock.advance(CANCEL_S + 1.0)
+    assert running(busy_world, "job-long") == 0
+
+    busy_world.finish()
--- a/tests/test_unresponsive_workers.py
+++ b/tests/test_unresponsive_workers.py
@@ -38,7 +38,7 @@
 
 
 @pytest.fixture
-def busy() -> World:
+def busy_world() -> World:
     return world_with_long_job(estimate_s=60.0, elapsed_s=15.0)
 
 
@@ -46,48 +46,50 @@
     return [name for name, worker in world.workers.items() if worker.tasks]
 
 
-def test_work_on_a_machine_that_receives_nothing_is_done_elsewhere(busy: World) -> None:
-    name = hosts(busy)[0]
-    busy.network.one_way_cuts.update((member, name) for member in MEMBERS)
-    busy.clock.advance(LEASE_S + 10.0)
-    assert busy.workers[name].dead, "it must be returned, so that nothing more is placed on it"
+def test_work_on_a_machine_that_receives_nothing_is_done_elsewhere(busy_world: World) -> None:
+    name = hosts(busy_world)[0]
+    busy_world.network.one_way_cuts.update((member, name) for member in MEMBERS)
+    busy_world.clock.advance(LEASE_S + 10.0)
+    assert busy_world.workers[name].dead, (
+        "it must be returned, so that nothing more is placed on it"
+    )
 
-    busy.clock.advance(120.0)
-    busy.users.query("job-long")
-    busy.clock.advance(1.0)
-    assert busy.final_statuses == {"job-long": "done"}
+    busy_world.clock.advance(120.0)
+    busy_world.users.query("job-long")
+    busy_world.clock.advance(1.0)
+    assert busy_world.final_statuses == {"job-long": "done"}
 
 
-def test_a_machine_that_only_direct_commands_do_not_reach_stays_in_use(busy: World) -> None:
-    name = hosts(busy)[0]
-    busy.no_direct.update(busy.workers)
+def test_a_machine_that_only_direct_commands_do_not_reach_stays_in_use(busy_world: World) -> None:
+    name = hosts(busy_world)[0]
+    busy_world.no_direct.update(busy_world.workers)
     for number in range(4):
-        busy.users.submit(job(f"job-{number}", tasks=2, estimate_s=3.0, team=Team("blue")))
-        busy.clock.advance(12.0)
-    assert not busy.workers[name].dead
+        busy_world.users.submit(job(f"job-{number}", tasks=2, estimate_s=3.0, team=Team("blue")))
+        busy_world.clock.advance(12.0)
+    assert not busy_world.workers[name].dead
 
     for number in range(4):
-        busy.users.query(f"job-{number}")
-    busy.clock.advance(1.0)
-    assert set(busy.final_statuses) >= {f"job-{number}" for number in range(4)}
+        busy_world.users.query(f"job-{number}")
+    busy_world.clock.advance(1.0)
+    assert set(busy_world.final_statuses) >= {f"job-{number}" for number in range(4)}
 
 
 def test_a_machine_that_is_switching_controllers_is_probed_before_it_is_deleted(
-    busy: World,
+    busy_world: World,
 ) -> None:
-    leader = next(m for m, p in busy.processes.items() if p and p.controller.leader)
-    name = hosts(busy)[0]
-    worker = busy.workers[name]
+    leader = next(m for m, p in busy_world.processes.items() if p and p.controller.leader)
+    name = hosts(busy_world)[0]
+    worker = busy_world.workers[name]
     # The worker waits for two unreachable controllers in turn. That takes longer than a silent
     # machine is tolerated, but not longer than its lease.
     reachable = next(m for m in MEMBERS if m != leader)
     worker.controller_index = MEMBERS.index(reachable) + 1
     for member in MEMBERS:
         if member != reachable:
-            busy.network.cut(name, member, "hold")
+            busy_world.network.cut(name, member, "hold")
     tasks_before = set(worker.tasks)
 
-    busy.clock.advance(8.0)
+    busy_world.clock.advance(8.0)
 
     assert not worker.dead
     assert tasks_before <= set(worker.tasks)
