--- a/tests/test_done_gangs.py
+++ b/tests/test_done_gangs.py
@@ -17,10 +17,10 @@
 def test_a_gang_ends_although_a_machine_forgets_its_last_attempt() -> None:
     day = Rules()
     day.begin(seed=10725, upgrade=False)
-    day.crash_in_an_election(after_s=0.01, back_s=0.5)
+    day.crash_in_an_election(after_s=0.01, downtime_s=0.5)
     day.refuse(member="c1", seconds=3.0)
-    day.roll(apart_s=3.0, back_s=2.0)
-    day.roll(apart_s=0.1, back_s=2.0)
+    day.roll(apart_s=3.0, downtime_s=2.0)
+    day.roll(apart_s=0.1, downtime_s=2.0)
     for tasks in (4, 5):
         day.submit(
             kind="plain",
@@ -31,7 +31,7 @@
             team="red",
         )
     day.refuse(member="c2", seconds=3.0)
-    day.roll(apart_s=0.1, back_s=2.0)
+    day.roll(apart_s=0.1, downtime_s=2.0)
     day.submit(
         kind="broken",
         place="spread",
@@ -40,7 +40,7 @@
         tasks=4,
         team="blue",
     )
-    day.many_leaders(apart_s=3.0, back_s=0.05, outage_s=0.0, times=6)
+    day.many_leaders(apart_s=3.0, downtime_s=0.05, outage_s=0.0, times=6)
     day.die(which=5)
     day.many_machines(again=True, seconds=12.0)
     day.teardown()
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -152,7 +152,7 @@
         for ref in sorted(world.specs):
             world.users.query(ref)
             if world.rng.random() < 0.1:
-                world.users.submit(world.specs[ref], tries=0)
+                world.users.submit(world.specs[ref], retries=0)
     world.finish()
 
 
@@ -177,13 +177,13 @@
     seed: int, crash: bool
 ) -> None:
     world = world_with_jobs(seed, estimate_s=30.0)
-    world.silenced.update(world.workers if seed % 2 else busy_machines(world))
+    world.heartbeats_blocked.update(world.workers if seed % 2 else busy_machines(world))
     world.clock.advance(3.0)
     world.users.cancel("job-0")
     if crash:
         world.end_leader(0.3)
     world.clock.advance(2.0 * LEASE_S)
-    world.silenced.clear()
+    world.heartbeats_blocked.clear()
     world.finish()
 
 
@@ -236,7 +236,7 @@
         world.clock.advance(3.0)
         if number % 3 == 0:
             world.users.cancel(f"job-{number}")
-            world.users.submit(world.specs["job-0"], tries=0)
+            world.users.submit(world.specs["job-0"], retries=0)
         if crash and number % 2:
             world.end_leader(0.2)
     world.clock.advance(15.0)
@@ -260,7 +260,7 @@
 @pytest.mark.parametrize("hang_s", [0.0, 6.0, LEASE_S + 3.0])
 def test_commands_delayed_for_seconds_while_the_machine_continues(seed: int, hang_s: float) -> None:
     world = world_with_jobs(seed, jobs=2, estimate_s=8.0)
-    world.flaky = 0.5
+    world.flaky_call_chance = 0.5
     for number in range(2, 7):
         world.users.submit(job(f"job-{number}", tasks=2, estimate_s=6.0, team=Team("blue")))
         world.clock.advance(2.0)
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -85,7 +85,7 @@
     the next attempt.
     """
     world = world_with_gangs(seed, estimate_s=8.0, count=1)
-    world.flaky = 0.6
+    world.flaky_call_chance = 0.6
     for number in range(1, 7):
         world.users.submit(
             job(f"job-{number}", tasks=3, estimate_s=5.0, team=Team("blue"), shape=Shape.GANG)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -19,7 +19,7 @@
 
 
 class Rules(RuleBasedStateMachine):
-    """Every rule is checked by the world itself, whenever it could break."""
+    """Random actions of a simulated day; the world itself checks the protocol's rules meanwhile."""
 
     @initialize(seed=st.integers(0, 2**32 - 1), upgrade=st.booleans())
     def begin(self, seed: int, upgrade: bool) -> None:
@@ -62,17 +62,17 @@
 
     @rule(tasks=st.integers(20, 120))
     def submit_many_tasks(self, tasks: int) -> None:
-        """More than one value holds, once values are small."""
+        """Submit more tasks than one value of the store can hold after `drop_limits`."""
         ref = f"job-{len(self.jobs):06d}"
         self.jobs.append(ref)
         spec = job(ref, tasks=tasks, cpus=0.1, memory_gb=0.1, team=Team("blue"), estimate_s=3.0)
         self.world.users.submit(spec)
         self.world.clock.advance(0.4)
 
-    @rule(member=members, back_s=st.sampled_from((0.05, 0.5, 5.0)))
-    def change(self, member: str, back_s: float) -> None:
-        """It comes back with the new version."""
-        self.world.upgrade(member, back_s)
+    @rule(member=members, downtime_s=st.sampled_from((0.05, 0.5, 5.0)))
+    def change(self, member: str, downtime_s: float) -> None:
+        """Restart a controller with the new version."""
+        self.world.upgrade(member, downtime_s)
 
     @rule()
     def drop_limits(self) -> None:
@@ -90,25 +90,25 @@
             self.world.users.cancel(self.jobs[which % len(self.jobs)])
             self.world.clock.advance(0.4)
 
-    @rule(member=members, back_s=st.sampled_from((0.05, 0.2, 5.0)))
-    def crash(self, member: str, back_s: float) -> None:
-        self.world.crash(member, back_s)
+    @rule(member=members, downtime_s=st.sampled_from((0.05, 0.2, 5.0)))
+    def crash(self, member: str, downtime_s: float) -> None:
+        self.world.crash(member, downtime_s)
 
-    @rule(back_s=st.sampled_from((0.05, 0.2, 3.0)))
-    def crash_all(self, back_s: float) -> None:
+    @rule(downtime_s=st.sampled_from((0.05, 0.2, 3.0)))
+    def crash_all(self, downtime_s: float) -> None:
         for member in MEMBERS:
-            self.world.crash(member, back_s)
+            self.world.crash(member, downtime_s)
 
-    @rule(after_s=st.sampled_from((0.01, 0.03, 0.08)), back_s=st.sampled_from((0.05, 0.5)))
-    def crash_in_an_election(self, after_s: float, back_s: float) -> None:
-        """The leader ends; another controller does so while it takes over."""
+    @rule(after_s=st.sampled_from((0.01, 0.03, 0.08)), downtime_s=st.sampled_from((0.05, 0.5)))
+    def crash_in_an_election(self, after_s: float, downtime_s: float) -> None:
+        """Crash the leader, and shortly after it another controller, which may be taking over."""
         leading = [m for m, p in self.world.processes.items() if p and p.controller.leader]
         for member in leading:
-            self.world.crash(member, back_s)
+            self.world.crash(member, downtime_s)
         self.world.clock.advance(after_s)
         for member in MEMBERS:
             if member not in leading:
-                self.world.crash(member, back_s)
+                self.world.crash(member, downtime_s)
                 break
 
     @rule(
@@ -137,13 +137,16 @@
 
     @rule(which=st.integers(0, 30), what=st.sampled_from(("answers", "direct")))
     def deafen(self, which: int, what: str) -> None:
-        """Its reports arrive; what is sent to it does not, all of it or the direct part."""
+        """Block all messages from the controllers to a machine, or only direct commands.
+
+        Its heartbeats still reach the controllers.
+        """
         names = sorted(self.world.workers)
         if not names:
             return
         name = names[which % len(names)]
         if what == "direct":
-            self.world.no_direct.add(name)
+            self.world.direct_commands_blocked.add(name)
         else:
             self.world.network.one_way_cuts.update((member, name) for member in MEMBERS)
 
@@ -177,7 +180,7 @@
 
     @rule(seconds=st.sampled_from((3.0, 12.0)), again=st.booleans())
     def many_machines(self, seconds: float, again: bool) -> None:
-        """Every other machine hangs, or loses power and is back at once."""
+        """Let every second machine hang, or with `again` lose power and boot immediately."""
         for name in sorted(self.world.workers)[::2]:
             worker = self.world.workers[name]
             if again and not worker.dead:
@@ -187,25 +190,28 @@
 
     @rule(member=members, seconds=st.sampled_from((2.0, 9.0, 25.0)), deciding=st.booleans())
     def stand_still(self, member: str, seconds: float, deciding: bool) -> None:
-        """Its clocks run on; `deciding`: between a decision and what follows from it."""
+        """Freeze a controller while its clocks run on.
+
+        With `deciding` it freezes after its next step with effects, before they are executed.
+        """
         process = self.world.processes[member]
         if process is not None and deciding:
-            process.stalls_s = seconds
+            process.freeze_after_step_s = seconds
         else:
             self.world.freeze(member, seconds)
 
-    @rule(member=members, cost_s=st.sampled_from((0.0, 0.02, 0.08)))
-    def slow(self, member: str, cost_s: float) -> None:
+    @rule(member=members, input_processing_s=st.sampled_from((0.0, 0.02, 0.08)))
+    def slow(self, member: str, input_processing_s: float) -> None:
         process = self.world.processes[member]
         if process is not None:
-            process.cost_s = cost_s
+            process.input_processing_s = input_processing_s
 
     @rule(which=st.integers(0, 30))
     def mute(self, which: int) -> None:
-        """It reaches no controller, while direct messages reach it."""
+        """Block the heartbeats of a machine; direct commands still reach it."""
         names = sorted(self.world.workers)
         if names:
-            self.world.silenced.add(names[which % len(names)])
+            self.world.heartbeats_blocked.add(names[which % len(names)])
 
     @rule(chance=st.sampled_from((0.0, 0.2, 0.5)))
     def late_writes(self, chance: float) -> None:
@@ -221,10 +227,10 @@
 
     @rule(count=st.integers(2, 8), hang_s=st.sampled_from((0.0, 6.0, 25.0)))
     def cancel_now(self, count: int, hang_s: float) -> None:
-        """Users call off jobs that run, all at once, and some of their machines hang."""
+        """Cancel several running jobs at once; some of their machines may hang."""
         world = self.world
-        at_work = {task.job for w in world.workers.values() for task, _ in w.tasks}
-        refs = [ref for ref in self.jobs if JobRef(ref) in at_work][:count]
+        running_jobs = {task.job for w in world.workers.values() for task, _ in w.tasks}
+        refs = [ref for ref in self.jobs if JobRef(ref) in running_jobs][:count]
         for ref in refs:
             world.users.cancel(ref)
         for worker in list(world.workers.values())[:8] if hang_s else ():
@@ -238,11 +244,11 @@
 
     @rule(which=st.integers(0, 50))
     def odd_requests(self, which: int) -> None:
-        """Repeats, cancellations of what is over, and jobs that can't be accepted."""
+        """Submit a job again, cancel it if it has ended, and submit two that must be refused."""
         world = self.world
         if self.jobs:
             ref = self.jobs[which % len(self.jobs)]
-            world.users.submit(world.specs[ref], tries=0)
+            world.users.submit(world.specs[ref], retries=0)
             if ref in world.final_statuses:
                 world.users.cancel(ref)
         world.users.submit_invalid(job(f"job-large-{which}", cpus=64.0), f"job-large-{which}", 422)
@@ -252,15 +258,15 @@
     @rule(
         times=st.integers(3, 10),
         apart_s=st.sampled_from((0.5, 3.0, 12.0)),
-        back_s=st.sampled_from((0.05, 0.5, 5.0)),
+        downtime_s=st.sampled_from((0.05, 0.5, 5.0)),
         outage_s=st.sampled_from((0.0, 20.0)),
     )
-    def many_leaders(self, times: int, apart_s: float, back_s: float, outage_s: float) -> None:
-        """Leaders end one after the other, also inside an outage."""
+    def many_leaders(self, times: int, apart_s: float, downtime_s: float, outage_s: float) -> None:
+        """Crash one leader after another, possibly during an outage of the store."""
         if outage_s:
             self.world.store.outage(outage_s)
         for _ in range(times):
-            self.world.end_leader(back_s)
+            self.world.end_leader(downtime_s)
             self.world.clock.advance(apart_s)
 
     @rule(
@@ -269,7 +275,10 @@
         count=st.integers(1, 4),
     )
     def gap(self, until_out_s: float, out_s: float, count: int) -> None:
-        """The store refuses the leader alone; others confirm cancellations; then it is out."""
+        """Have the store refuse only the leader, cancel jobs, then start an outage.
+
+        Other controllers can confirm the cancellations before the outage.
+        """
         world = self.world
         for member in world.leading():
             world.store.refused_until[member] = world.clock.now + 14.0
@@ -283,12 +292,12 @@
     def cut_zone(self, mode: str, zone: str) -> None:
         self.world.cut_zone(zone, mode)
 
-    @rule(apart_s=st.sampled_from((0.1, 3.0)), back_s=st.sampled_from((0.1, 2.0)))
-    def roll(self, apart_s: float, back_s: float) -> None:
-        """All controllers, one after the other, amid late copies of reports."""
+    @rule(apart_s=st.sampled_from((0.1, 3.0)), downtime_s=st.sampled_from((0.1, 2.0)))
+    def roll(self, apart_s: float, downtime_s: float) -> None:
+        """Restart all controllers in turn, with late copies of heartbeats and direct commands."""
         self.world.duplicates = 0.6
         for member in MEMBERS:
-            self.world.crash(member, back_s)
+            self.world.crash(member, downtime_s)
             self.world.clock.advance(apart_s)
 
     @rule(which=st.integers(0, 30))
@@ -308,7 +317,7 @@
 
     @rule(chance=st.sampled_from((0.0, 0.1, 0.4)))
     def flaky(self, chance: float) -> None:
-        self.world.flaky = chance
+        self.world.flaky_call_chance = chance
 
     def teardown(self) -> None:
         if hasattr(self, "world"):
--- a/tests/test_unresponsive_workers.py
+++ b/tests/test_unresponsive_workers.py
@@ -62,7 +62,7 @@
 
 def test_a_machine_that_only_direct_commands_do_not_reach_stays_in_use(busy_world: World) -> None:
     name = hosts(busy_world)[0]
-    busy_world.no_direct.update(busy_world.workers)
+    busy_world.direct_commands_blocked.update(busy_world.workers)
     for number in range(4):
         busy_world.users.submit(job(f"job-{number}", tasks=2, estimate_s=3.0, team=Team("blue")))
         busy_world.clock.advance(12.0)
--- a/tests/world/__init__.py
+++ b/tests/world/__init__.py
@@ -18,16 +18,18 @@
 - cut: no messages pass between two hosts. With mode `hold` they are delivered after the cut, with
   `reset` they are refused immediately. A one-way cut drops the messages of one direction.
 - outage: the store answers no controller. `refused_until`: it does not answer one controller.
-- crash: a controller process ends and restarts later. freeze, `stalls_s`: it is suspended for a
-  while, although its clocks run on. `cost_s`: processing time of each input. `drift`: its clock
-  runs faster or slower than the simulated clock.
+- crash: a controller process ends and restarts later. freeze, `freeze_after_step_s`: it is
+  suspended for a while, although its clocks run on. `input_processing_s`: processing time of each
+  input. `drift`: its clock runs faster or slower than the simulated clock.
 - hang: a machine stops for a while, and then processes everything that arrived meanwhile. restart:
   it loses power and is back immediately. dead: it never comes back. `reclaimed_at`: the announced
   time at which the cloud reclaims a spot machine. faulty: all tasks on the machine fail.
-- silenced: a worker's heartbeats reach no controller. `no_direct`: direct commands do not reach it.
-- flaky: the probability that a commit, a direct command, a rental or a deletion of machines gets no
-  reply and is executed late. `late_writes`: the same for all writes to the store. `duplicates`: the
-  probability that a heartbeat or a direct command is delivered a second time later.
+- `heartbeats_blocked`: a worker's heartbeats reach no controller. `direct_commands_blocked`: direct
+  commands do not reach it.
+- `flaky_call_chance`: the probability that a commit, a direct command, a rental or a deletion of
+  machines gets no reply and is executed late. `late_writes`: the same for all writes to the store.
+  `duplicates`: the probability that a heartbeat or a direct command is delivered a second time
+  later.
 
 A simulated day is one run of the random test in `tests/test_rules.py`. The days depend on the
 source of its class `Rules`, including the names used there: any edit of the class draws other days.
--- a/tests/world/cloud.py
+++ b/tests/world/cloud.py
@@ -74,7 +74,7 @@
             self.world.rentals[effect.name] = names
             return Rented(names)
 
-        if self.world.rng.random() < self.world.flaky:
+        if self.world.rng.random() < self.world.flaky_call_chance:
             # Executed with a delay, possibly after the caller has given up.
             self.world.clock.after(self.world.rng.choice((0.1, 20.0)), execute)
             self.world.clock.after(1.0, lambda: reply(RentalUnanswered()))
@@ -98,7 +98,7 @@
                     self.world.workers[name].dead = True
                     self.world.workers[name].tasks.clear()
 
-        if self.world.rng.random() < self.world.flaky:
+        if self.world.rng.random() < self.world.flaky_call_chance:
             self.world.clock.after(self.world.rng.choice((0.1, 30.0)), execute)
             self.world.clock.after(2.0, lambda: reply(False))
         else:
--- a/tests/world/faults.py
+++ b/tests/world/faults.py
@@ -10,16 +10,16 @@
     """
 
     def __init__(self) -> None:
-        self.flaky = 0.0
+        self.flaky_call_chance = 0.0
         """Probability that a commit, direct command, rental or machine deletion is executed late.
 
         The caller gets no reply, except that a commit may be executed twice and then answered.
         """
         self.duplicates = 0.0
         """Probability that a heartbeat or a direct command is delivered a second time later."""
-        self.no_direct: set[str] = set()
+        self.direct_commands_blocked: set[str] = set()
         """Addresses of the workers that direct commands do not reach."""
-        self.silenced: set[str] = set()
+        self.heartbeats_blocked: set[str] = set()
         """Workers whose heartbeats reach no controller; direct commands still reach them."""
         self.boot_failure_chance = 0.05
         """Probability that a rented machine never boots."""
@@ -38,10 +38,10 @@
 
     def end_faults(self) -> None:
         """Reset all faults of this class except `boot_failure_chance`."""
-        self.flaky = self.duplicates = self.late_writes = 0.0
+        self.flaky_call_chance = self.duplicates = self.late_writes = 0.0
         self.slow_store_s = self.cancel_at_end = 0.0
         self.slow_scans.clear()
         self.slow_watches.clear()
-        self.no_direct.clear()
-        self.silenced.clear()
+        self.direct_commands_blocked.clear()
+        self.heartbeats_blocked.clear()
         self.cloud_down = False
--- a/tests/world/store_calls.py
+++ b/tests/world/store_calls.py
@@ -47,7 +47,7 @@
         if isinstance(effect, Watch):
             self.world.clock.after(delay, lambda: self.watch(member, effect, reply, effect.block_s))
             return
-        if isinstance(effect, Commit) and self.world.rng.random() < self.world.flaky:
+        if isinstance(effect, Commit) and self.world.rng.random() < self.world.flaky_call_chance:
             self.world.clock.after(delay, lambda: self.flaky_commit(effect, reply))
             return
         if (
--- a/tests/world/users.py
+++ b/tests/world/users.py
@@ -24,8 +24,8 @@
     def __init__(self, world: World) -> None:
         self.world = world
 
-    def submit(self, spec: JobSpec, tries: int = 20) -> None:
-        """Submit a job, and up to `tries` times again with the same reference until accepted."""
+    def submit(self, spec: JobSpec, retries: int = 20) -> None:
+        """Submit a job, and up to `retries` times again with the same reference until accepted."""
         self.world.specs[spec.ref] = spec
         sent_at = self.world.clock.now
 
@@ -46,15 +46,16 @@
         # the store holds the job, before the user gets the response.
         self.accept_once_stored(spec.ref)
         self.world.request(member, lambda n: SubmitJob(n, spec), on_response)
-        if tries > 0:
+        if retries > 0:
             self.world.clock.after(
-                self.world.rng.uniform(1.0, 3.0), lambda: self.resubmit_unless_accepted(spec, tries)
+                self.world.rng.uniform(1.0, 3.0),
+                lambda: self.resubmit_unless_accepted(spec, retries),
             )
 
-    def resubmit_unless_accepted(self, spec: JobSpec, tries: int) -> None:
+    def resubmit_unless_accepted(self, spec: JobSpec, retries: int) -> None:
         """Submit the job again; if it is accepted, only with a probability of 0.05."""
         if spec.ref not in self.world.accepted or self.world.rng.random() < 0.05:
-            self.submit(spec, tries - 1)
+            self.submit(spec, retries - 1)
 
     def accept_once_stored(self, ref: str) -> None:
         """Count the job as accepted as soon as the store holds it; checks every 0.01 s."""
@@ -116,8 +117,8 @@
         if seconds > 5.0:
             self.world.clock.after(5.0, lambda: self.poll_for(ref, seconds - 5.0))
 
-    def cancel(self, ref: str, tries: int = 30) -> None:
-        """Cancel a job, and up to `tries` times again, each second, until its status is final."""
+    def cancel(self, ref: str, retries: int = 30) -> None:
+        """Cancel a job, and up to `retries` times again, each second, until its status is final."""
         self.world.cancel_requested.add(ref)
         sent_at = self.world.clock.now
 
@@ -133,12 +134,12 @@
             lambda n: CancelJob(n, JobRef(ref)),
             on_response,
         )
-        if tries > 0 and ref not in self.world.final_statuses:
-            self.world.clock.after(1.0, lambda: self.cancel_unless_final(ref, tries - 1))
+        if retries > 0 and ref not in self.world.final_statuses:
+            self.world.clock.after(1.0, lambda: self.cancel_unless_final(ref, retries - 1))
 
-    def cancel_unless_final(self, ref: str, tries: int) -> None:
+    def cancel_unless_final(self, ref: str, retries: int) -> None:
         if ref not in self.world.final_statuses:
-            self.cancel(ref, tries)
+            self.cancel(ref, retries)
 
     def check_status(self, ref: str, status: str, sent_at: float) -> None:
         if status in ("done", "aborted"):
--- a/tests/world/worker_calls.py
+++ b/tests/world/worker_calls.py
@@ -29,7 +29,7 @@
             response = result if isinstance(result, HeartbeatResponse) else None
             self.world.network.send(member, worker, lambda: on_response(response))
 
-        if worker in self.world.silenced:
+        if worker in self.world.heartbeats_blocked:
             self.world.clock.after(0.5, lambda: on_response(None))
             return
         if self.world.rng.random() < self.world.duplicates:
@@ -95,10 +95,10 @@
         if self.world.duplicates and self.world.rng.random() < self.world.duplicates:
             # Executed now, and a second time later.
             self.world.clock.after(self.world.rng.choice((0.5, 3.0, 12.0, 40.0)), execute)
-        if self.world.rng.random() < self.world.flaky:
+        if self.world.rng.random() < self.world.flaky_call_chance:
             # Executed late, possibly after newer commands.
             self.world.clock.after(self.world.rng.choice((0.5, 6.0, 40.0)), execute)
-        elif call.address in self.world.no_direct:
+        elif call.address in self.world.direct_commands_blocked:
             self.world.clock.after(0.8, lambda: complete(None, self.world.rng.random() < 0.5))
         elif not self.world.network.send(member, call.address, execute):
             self.world.clock.after(0.01, lambda: complete(None, False))
@@ -114,7 +114,7 @@
 
         def execute() -> None:
             heartbeat = worker.execute_direct_command(call)
-            if self.world.rng.random() >= self.world.flaky:
+            if self.world.rng.random() >= self.world.flaky_call_chance:
                 self.world.network.send(call.address, member, lambda: on_reply(heartbeat))
 
         worker.run_when_not_hung(execute)
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -40,9 +40,9 @@
     """Rate of its clock relative to the simulated clock."""
     free_at: float = 0.0
     """The time until which it is frozen, or busy with earlier inputs."""
-    cost_s: float = 0.0
+    input_processing_s: float = 0.0
     """Processing time of each input in seconds."""
-    stalls_s: float = 0.0
+    freeze_after_step_s: float = 0.0
     """Seconds for which it freezes after its next step with effects, before these are executed."""
     requests: dict[int, Callable[[Any], None]] = field(default_factory=dict)
     """Callbacks of the requests that have no response yet, by the number of the request."""
@@ -161,9 +161,9 @@
 
     def deliver(self, member: str, process: Process, event: Any) -> None:
         """Process an input now, or in order once the controller is no longer frozen or busy."""
-        if process.cost_s or self.clock.now < process.free_at:
+        if process.input_processing_s or self.clock.now < process.free_at:
             starts_at = max(self.clock.now, process.free_at)
-            process.free_at = starts_at + process.cost_s
+            process.free_at = starts_at + process.input_processing_s
             delay = process.free_at - self.clock.now
             self.clock.after(delay, lambda: self.process_input(member, process, event))
         else:
@@ -174,13 +174,13 @@
             return
         now = Seconds(self.clock.now * process.drift)
         effects = process.controller.step(event, now, WallTime(self.clock.now))
-        stall_s, process.stalls_s = process.stalls_s, 0.0
-        if stall_s and effects:
+        freeze_s, process.freeze_after_step_s = process.freeze_after_step_s, 0.0
+        if freeze_s and effects:
             # The effects are executed once the process continues, even if outdated by then.
-            self.freeze(member, stall_s)
-            self.clock.after(stall_s, lambda: self.execute_all(member, process, effects))
+            self.freeze(member, freeze_s)
+            self.clock.after(freeze_s, lambda: self.execute_all(member, process, effects))
         else:
-            process.stalls_s = stall_s
+            process.freeze_after_step_s = freeze_s
             self.execute_all(member, process, effects)
 
     def execute_all(self, member: str, process: Process, effects: list[Effect]) -> None:
@@ -218,7 +218,7 @@
         self.network.heal()
         for process in self.processes.values():
             if process is not None:
-                process.cost_s = process.stalls_s = 0.0
+                process.input_processing_s = process.freeze_after_step_s = 0.0
         self.store.outage_until = 0.0
         self.store.refused_until.clear()
 
