--- a/tests/test_cycle.py
+++ b/tests/test_cycle.py
@@ -22,14 +22,14 @@
 from .world import TEAMS, job
 
 jobs = st.builds(
-    lambda n, tasks, team, cpus, priority, place, shape: make_job(
+    lambda n, tasks, team, cpus, priority, placement, shape: make_job(
         f"job-{n}",
         tasks=tasks,
         team=Team(team),
         cpus=cpus,
         priority=priority,
-        one_zone=place == "one_zone",
-        spread=place == "spread",
+        one_zone=placement == "one_zone",
+        spread=placement == "spread",
         shape=shape,
     ),
     st.integers(0, 10**6),
@@ -42,32 +42,48 @@
 )
 fleets = st.lists(
     st.tuples(st.integers(0, 1), st.sampled_from(("a", "b")), st.booleans()), max_size=6
-).map(lambda drawn: [make_machine(f"m-{n}", *traits) for n, traits in enumerate(drawn)])
+).map(
+    lambda drawn_machines: [
+        make_machine(f"m-{n}", *properties) for n, properties in enumerate(drawn_machines)
+    ]
+)
 
 
-@given(st.lists(jobs, max_size=6, unique_by=lambda j: j.ref), fleets)
+@given(st.lists(jobs, max_size=6, unique_by=lambda waiting_job: waiting_job.ref), fleets)
 def test_a_scheduling_cycle_respects_capacity_quota_and_placement(
     waiting_jobs: list[Job], fleet: list[Machine]
 ) -> None:
     assignments = plan_cycle(waiting_jobs, fleet)
-    by_ref = {j.ref: j for j in waiting_jobs}
+    jobs_by_ref = {waiting_job.ref: waiting_job for waiting_job in waiting_jobs}
     for machine in fleet:
-        here = [by_ref[c.job].spec for c in assignments if c.machine == machine.id]
-        assert sum(spec.cpus for spec in here) <= machine.type.cpus
-        assert sum(spec.memory_gb for spec in here) <= machine.type.memory_gb
+        specs_on_machine = [
+            jobs_by_ref[assignment.job].spec
+            for assignment in assignments
+            if assignment.machine == machine.id
+        ]
+        assert sum(spec.cpus for spec in specs_on_machine) <= machine.type.cpus
+        assert sum(spec.memory_gb for spec in specs_on_machine) <= machine.type.memory_gb
     zones = {machine.id: machine.zone for machine in fleet}
     for team, limits in TEAMS.items():
-        used = [by_ref[c.job].spec for c in assignments if by_ref[c.job].spec.team == team]
-        assert sum(spec.cpus for spec in used) <= limits.cpus_max
-    for ref, waiting_job in by_ref.items():
-        places = [zones[c.machine] for c in assignments if c.job == ref]
-        assert len(places) <= waiting_job.spec.tasks
+        team_specs = [
+            jobs_by_ref[assignment.job].spec
+            for assignment in assignments
+            if jobs_by_ref[assignment.job].spec.team == team
+        ]
+        assert sum(spec.cpus for spec in team_specs) <= limits.cpus_max
+    for ref, waiting_job in jobs_by_ref.items():
+        task_zones = [
+            zones[assignment.machine] for assignment in assignments if assignment.job == ref
+        ]
+        assert len(task_zones) <= waiting_job.spec.tasks
         if waiting_job.spec.one_zone:
-            assert len(set(places)) <= 1
+            assert len(set(task_zones)) <= 1
         if waiting_job.spec.spread:
-            assert all(places.count(zone) <= waiting_job.spec.max_per_zone() for zone in places)
+            assert all(
+                task_zones.count(zone) <= waiting_job.spec.max_per_zone() for zone in task_zones
+            )
         if waiting_job.spec.shape is Shape.GANG:
-            assert len(places) in (0, waiting_job.spec.tasks)
+            assert len(task_zones) in (0, waiting_job.spec.tasks)
 
 
 def test_a_scheduling_cycle_prefers_urgent_work_spot_machines_and_present_images() -> None:
--- a/tests/test_gang_replacement.py
+++ b/tests/test_gang_replacement.py
@@ -67,7 +67,9 @@
 
 
 @pytest.mark.parametrize("cause", ["error", "mates_gone", "incomplete", "done", "never heard of"])
-def test_only_a_task_lost_for_a_harmless_cause_is_replaced(cause: str) -> None:
+def test_a_task_that_exits_is_replaced_only_if_it_was_stopped_or_refused_for_capacity(
+    cause: str,
+) -> None:
     term, _ = gang_on_two_machines()
     term.receive_heartbeat((1, 1), machine="m-2")
     term.receive_heartbeat((1, 3), machine="m-1", tasks=(task_status(1, "exited", cause),))
--- a/tests/test_outage_after_partition.py
+++ b/tests/test_outage_after_partition.py
@@ -25,9 +25,12 @@
     world_with_long_job,
 )
 
-RENEW_S = CANCEL_S - LEASE_S
-BOUNDS = (RENEW_S, CANCEL_S - HEARTBEAT_S, CANCEL_S, RENEW_S + CANCEL_S)
-EDGE_S = st.sampled_from((-2.0, -0.6, 0.0, 0.6, 2.0))
+RENEWAL_WINDOW_S = CANCEL_S - LEASE_S
+"""How long after its last store contact a leader renews workers' leases, plus a safety margin."""
+BOUNDARIES_S = (RENEWAL_WINDOW_S, CANCEL_S - HEARTBEAT_S, CANCEL_S, RENEWAL_WINDOW_S + CANCEL_S)
+"""Outage durations around which the drawn ones lie."""
+OFFSETS_S = st.sampled_from((-2.0, -0.6, 0.0, 0.6, 2.0))
+"""Differences of the drawn outage durations from `BOUNDARIES_S`."""
 
 
 def cancel_through_others(world: World, leader: str, ref: str) -> None:
@@ -36,7 +39,9 @@
     world.users.cancel(ref)
 
 
-def gap(world: World, until_out_s: float, out_s: float, refs: list[str]) -> str:
+def partition_leader_then_start_outage(
+    world: World, until_outage_s: float, outage_s: float, refs: list[str]
+) -> str:
     """Have the store refuse the leader, cancel jobs through followers, then start an outage.
 
     Returns the leader.
@@ -46,12 +51,12 @@
     world.clock.advance(0.2)
     for ref in refs:
         cancel_through_others(world, leader, ref)
-    world.clock.advance(until_out_s)
-    world.store.outage(out_s)
+    world.clock.advance(until_outage_s)
+    world.store.outage(outage_s)
     return leader
 
 
-gaps = settings(
+example_settings = settings(
     max_examples=40,
     deadline=None,
     derandomize=True,
@@ -60,21 +65,21 @@
 )
 
 
-@gaps
+@example_settings
 @given(
-    until_out_s=st.floats(0.3, 4.0),
-    bound=st.sampled_from(BOUNDS),
-    edge_s=EDGE_S,
-    again=st.booleans(),
+    until_outage_s=st.floats(0.3, 4.0),
+    boundary_s=st.sampled_from(BOUNDARIES_S),
+    from_boundary_s=OFFSETS_S,
+    another_outage=st.booleans(),
     hang_s=st.sampled_from((0.0, 0.0, LEASE_S - 1.0, LEASE_S + 5.0, CANCEL_S + 5.0)),
     drift=st.sampled_from((0.9995, 1.0, 1.0005)),
     crash=st.sampled_from((None, "leader", "other")),
 )
 def test_no_task_outlives_a_cancellation_that_its_leader_cannot_know(
-    until_out_s: float,
-    bound: float,
-    edge_s: float,
-    again: bool,
+    until_outage_s: float,
+    boundary_s: float,
+    from_boundary_s: float,
+    another_outage: bool,
     hang_s: float,
     drift: float,
     crash: str | None,
@@ -92,40 +97,46 @@
 
     for worker in list(world.workers.values())[::2] if hang_s else ():
         worker.hang(hang_s)
-    gap(world, until_out_s, bound + edge_s, ["job-long"])
+    partition_leader_then_start_outage(
+        world, until_outage_s, boundary_s + from_boundary_s, ["job-long"]
+    )
     if crash:
         world.clock.advance(1.0)
-        ends = leader if crash == "leader" else next(m for m in MEMBERS if m != leader)
-        world.crash(ends, 0.2)
+        crashed = (
+            leader if crash == "leader" else next(member for member in MEMBERS if member != leader)
+        )
+        world.crash(crashed, 0.2)
     confirmed_at = world.cancel_confirmed_at.get("job-long")
-    world.clock.advance(bound + edge_s + 2.0)
-    if again:
+    world.clock.advance(boundary_s + from_boundary_s + 2.0)
+    if another_outage:
         # After a crash during an outage there may be no leader yet.
         world.clock.advance(4.0)
-        gap(world, until_out_s, bound + edge_s, ["job-kept"])
-        world.clock.advance(bound + edge_s)
+        partition_leader_then_start_outage(
+            world, until_outage_s, boundary_s + from_boundary_s, ["job-kept"]
+        )
+        world.clock.advance(boundary_s + from_boundary_s)
     world.clock.advance(CANCEL_S + 5.0)
     assert confirmed_at is None or running(world, "job-long") == 0
 
 
-@pytest.mark.parametrize("until_out_s", [0.5, 2.0])
+@pytest.mark.parametrize("until_outage_s", [0.5, 2.0])
 def test_tasks_that_are_not_cancelled_run_until_the_renewal_deadline(
-    until_out_s: float,
+    until_outage_s: float,
 ) -> None:
     world = world_with_long_job(estimate_s=200.0, elapsed_s=20.0)
     world.cloud_down = True
-    gap(world, until_out_s, CANCEL_S, [])
+    partition_leader_then_start_outage(world, until_outage_s, CANCEL_S, [])
 
     # The last contact may be as old as a watch is long, and a heartbeat may have been answered
     # immediately before.
-    world.clock.advance(CANCEL_S - until_out_s - 1.5 - HEARTBEAT_S * 1.25 - 2.0)
+    world.clock.advance(CANCEL_S - until_outage_s - 1.5 - HEARTBEAT_S * 1.25 - 2.0)
 
     assert running(world, "job-long") == 3
 
 
 def test_a_short_outage_ends_no_task() -> None:
     world = world_with_long_job(estimate_s=200.0, elapsed_s=20.0)
-    gap(world, 1.0, RENEW_S - 4.0, [])
+    partition_leader_then_start_outage(world, 1.0, RENEWAL_WINDOW_S - 4.0, [])
 
     world.clock.advance(CANCEL_S)
 
@@ -136,7 +147,7 @@
     """After an outage, the leader renews its lease before it has read the cancellations."""
     world = world_with_long_job(estimate_s=200.0, elapsed_s=20.0)
     world.cloud_down = True
-    leader = gap(world, 1.0, 12.0, ["job-long"])
+    leader = partition_leader_then_start_outage(world, 1.0, 12.0, ["job-long"])
     world.store.refused_until.clear()
     # Its watches get no reply; its lease renewals do.
     world.slow_watches.add(leader)
@@ -156,17 +167,17 @@
     """
     world = world_with_long_job(estimate_s=200.0, elapsed_s=20.0)
     world.cloud_down = True
-    old = leader_of(world)
+    old_leader = leader_of(world)
     world.slow_scans[scan] = LEASE_S - 3.0
-    world.crash(old, 5.0)
+    world.crash(old_leader, 5.0)
     world.clock.advance(1.0)
-    (electing,) = world.leading()
-    process = world.processes[electing]
+    (new_leader,) = world.leading()
+    process = world.processes[new_leader]
     assert process is not None
     assert process.controller.leader is None
 
-    world.slow_watches.add(electing)
-    cancel_through_others(world, electing, "job-long")
+    world.slow_watches.add(new_leader)
+    cancel_through_others(world, new_leader, "job-long")
     while process.controller.leader is None:
         world.clock.advance(0.01)
     assert "job-long" in world.cancel_confirmed_at
--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -67,39 +67,54 @@
     st.floats(0.0, 14.0),
 )
 def test_all_shards_together_respect_the_quotas(
-    asked: list[tuple[int, float, str]], used: list[float], red: float
+    drawn_jobs: list[tuple[int, float, str]],
+    used_cpus_by_machine: list[float],
+    red_used_cpus: float,
 ) -> None:
     cluster = ClusterState()
-    cluster.team_cpus["red"] = red
+    cluster.team_cpus["red"] = red_used_cpus
     jobs = [
         Job(job(f"job-{n}", tasks=tasks, cpus=cpus, team=Team(team)), Version(1), NOW)
-        for n, (tasks, cpus, team) in enumerate(asked)
+        for n, (tasks, cpus, team) in enumerate(drawn_jobs)
     ]
-    machines = [Machine(MachineId(f"m-{n}"), TYPES[1], Zone("a"), True) for n in range(len(used))]
-    for machine, cpus_used in zip(machines, used, strict=True):
+    machines = [
+        Machine(MachineId(f"m-{n}"), TYPES[1], Zone("a"), True)
+        for n in range(len(used_cpus_by_machine))
+    ]
+    for machine, cpus_used in zip(machines, used_cpus_by_machine, strict=True):
         machine.used_cpus = cpus_used
     shards: dict[Member, list[Job]] = {}
-    for one in jobs:
-        shards.setdefault(shard_owner(one.ref, OWNERS), []).append(one)
+    for waiting_job in jobs:
+        shards.setdefault(shard_owner(waiting_job.ref, OWNERS), []).append(waiting_job)
     shares = quota_shares(shards, TEAMS, cluster)
-    taken = {"red": red, "blue": 0.0}
+    taken_cpus = {"red": red_used_cpus, "blue": 0.0}
     for member, shard_jobs in shards.items():
         inputs = ShardInputs(machines, {}, 0.0, {}, NOW)
         view = build_shard_view(4, shard_jobs, shares[member], inputs, cluster, Random(1))
         decoded = msgspec.msgpack.decode(msgspec.msgpack.encode(view), type=ShardView)
         proposal = plan_shard(
-            decoded, deployment(member), {t.name: t for t in TYPES}, Random(1), Seconds(7.0)
+            decoded,
+            deployment(member),
+            {machine_type.name: machine_type for machine_type in TYPES},
+            Random(1),
+            Seconds(7.0),
         )
         assert proposal.number == 4
-        by_ref = {one.ref: one.spec for one in shard_jobs}
+        specs_by_ref = {waiting_job.ref: waiting_job.spec for waiting_job in shard_jobs}
         for machine in machines:
-            here = [by_ref[ref] for ref, name in proposal.assignments if name == machine.id]
-            assert machine.used_cpus + sum(spec.cpus for spec in here) <= 8.0 + 1e-6
+            specs_on_machine = [
+                specs_by_ref[ref]
+                for ref, machine_id in proposal.assignments
+                if machine_id == machine.id
+            ]
+            assert machine.used_cpus + sum(spec.cpus for spec in specs_on_machine) <= 8.0 + 1e-6
         for ref, _ in proposal.assignments:
-            taken[by_ref[ref].team] += by_ref[ref].cpus
+            taken_cpus[specs_by_ref[ref].team] += specs_by_ref[ref].cpus
 
     for team, limits in TEAMS.items():
-        assert taken[team] <= max(limits.cpus_max, red if team == "red" else 0.0) + 1e-6
+        assert (
+            taken_cpus[team] <= max(limits.cpus_max, red_used_cpus if team == "red" else 0.0) + 1e-6
+        )
 
 
 def test_without_a_proposal_in_time_the_leader_plans_the_shard_itself() -> None:
@@ -141,13 +156,17 @@
     number = next(
         effect for effect in term.outbox.take() if isinstance(effect, ShardRequest)
     ).view.number
-    here = MachineId("m-0")
-    outdated = ShardProposal(number - 1, ((JobRef(mine[0]), here),))
+    machine_id = MachineId("m-0")
+    outdated = ShardProposal(number - 1, ((JobRef(mine[0]), machine_id),))
     leader.scheduler.commit_proposal(Member("c1"), outdated, term.now)
     assert leader.jobs[JobRef(mine[0])].placed_count() == 0
 
-    assignments = ((JobRef(mine[0]), here), (JobRef(others[0]), here), (JobRef("job-gone"), here),
-               (JobRef(mine[1]), MachineId("m-gone")))  # fmt: skip
+    assignments = (
+        (JobRef(mine[0]), machine_id),
+        (JobRef(others[0]), machine_id),
+        (JobRef("job-gone"), machine_id),
+        (JobRef(mine[1]), MachineId("m-gone")),
+    )
     leader.scheduler.commit_proposal(Member("c1"), ShardProposal(number, assignments), term.now)
     placed = {ref: leader.jobs[JobRef(ref)].placed_count() for ref in (*mine, *others)}
     assert placed == {mine[0]: 1, mine[1]: 0, others[0]: 0}, (
@@ -167,5 +186,5 @@
     for reservations, count in (({}, 1), ({machine.id: large}, 0)):
         inputs = ShardInputs([machine], reservations, 0.0, {}, NOW)
         view = build_shard_view(1, [small], shares, inputs, ClusterState(), Random(1))
-        types = {t.name: t for t in TYPES}
+        types = {machine_type.name: machine_type for machine_type in TYPES}
         assert len(plan_shard(view, deployment("c1"), types, Random(1), NOW).assignments) == count
