--- a/src/crosscleat/adapters/background.py
+++ b/src/crosscleat/adapters/background.py
@@ -9,7 +9,7 @@
 
 
 class BackgroundTasks:
-    """Starts tasks and keeps a reference to each until it ends; the event loop does not.
+    """Starts tasks and keeps a reference to each until it ends, because the event loop does not.
 
     A task group is not used because one failed task would cancel the others.
     """
--- a/src/crosscleat/adapters/cloud_client.py
+++ b/src/crosscleat/adapters/cloud_client.py
@@ -24,7 +24,7 @@
 MACHINES_PER_PAGE = 500
 RETRY_PAUSE_S = 0.5
 """Wait before a rental with an unexpected status is reported as unanswered, because the controller
-repeats it immediately."""
+repeats an unanswered rental immediately."""
 
 log = logging.getLogger("crosscleat.cloud")
 
@@ -41,7 +41,7 @@
         return await self._endpoint.request(method, path, body, TIMEOUT_S)
 
     async def list_machine_types(self) -> list[MachineType] | None:
-        """The machine types with their current prices; None if the request failed."""
+        """The machine types with their current prices; None if they could not be read."""
         response = await self._request("GET", "/machine_types")
         if response is None or response.status != 200:
             return None
@@ -52,7 +52,7 @@
             return None
 
     async def list_machines(self) -> list[ListedMachine] | None:
-        """The complete machine list, read page by page; None if the request for any page failed."""
+        """The complete machine list, read page by page; None if any page could not be read."""
         machines: list[ListedMachine] = []
         after = ""
         while True:
--- a/src/crosscleat/adapters/commit_queue.py
+++ b/src/crosscleat/adapters/commit_queue.py
@@ -11,7 +11,7 @@
 from ..core.model.store_calls import Commit, CommitOutcome, Conflict, Put, Unanswered
 
 MAX_BYTES = 48_000
-"""Maximum size of the values in one request as JSON, which is what the store's limit counts."""
+"""Maximum size in bytes of one request's values as JSON, as the store's limit counts them."""
 BYTES_PER_WRITE = 100
 """Estimated size of a write without its value: the key and the JSON syntax."""
 CONDITIONS_PER_OPERATION = 4
--- a/src/crosscleat/adapters/deadline.py
+++ b/src/crosscleat/adapters/deadline.py
@@ -1,6 +1,6 @@
 """A timeout that tolerates a suspension of the process.
 
-A process may be suspended, or wait for a processor. When it resumes, the event loop runs expired
+A process may be suspended, or wait for a CPU. When it resumes, the event loop runs expired
 timers before it reads data that arrived in the meantime. A timeout whose timer fires late is
 therefore extended by a grace period, a limited number of times.
 """
@@ -21,10 +21,10 @@
 
 
 class Deadline:
-    """Asynchronous context manager that raises TimeoutError after `timeout_s`."""
+    """Asynchronous context manager that, like asyncio.timeout, raises TimeoutError."""
 
     def __init__(self, timeout_s: float) -> None:
-        """Create the context manager; the timeout starts when the context is entered."""
+        """The error is raised `timeout_s` after the context is entered."""
         self._timeout_s = timeout_s
         self._scope = asyncio.timeout(None)
         self._grace_periods = 0
--- a/src/crosscleat/adapters/health.py
+++ b/src/crosscleat/adapters/health.py
@@ -20,10 +20,10 @@
 
     @property
     def is_available(self) -> bool:
-        """Whether the store answered the last request."""
+        """Whether the store served the last request."""
 
     def outage_s(self) -> float:
-        """Seconds since the store stopped serving this controller; 0 while it serves it."""
+        """Seconds since the store stopped serving this controller; 0 until that is certain."""
 
 
 class Health:
@@ -51,8 +51,10 @@
     def is_isolated(self) -> bool:
         """Whether users should go to other controllers: the store serves those but not this one.
 
-        In an outage that affects all, controllers detect it at slightly different times. A
-        controller that reaches neither the store nor any peer must assume that it is isolated.
+        Controllers detect an outage that affects all of them at slightly different times. A peer's
+        ping therefore counts only if it came at least `MIN_OUTAGE_S - PING_INTERVAL_S` after this
+        controller's outage began. A controller that reaches neither the store nor any peer must
+        assume that it is isolated.
         """
         outage_s = self._store.outage_s()
         if outage_s < MIN_OUTAGE_S:
--- a/src/crosscleat/adapters/http_server.py
+++ b/src/crosscleat/adapters/http_server.py
@@ -35,7 +35,10 @@
     """Handles the requests that the server receives."""
 
     async def handle_request(self, make_input: Callable[[int], UserInput]) -> Response | None:
-        """The response to the input made from a request number; None if there was none in time."""
+        """The response to a user's request; None if there was none in time.
+
+        `make_input` makes the controller's input for the given request number.
+        """
 
     async def receive_heartbeat(self, body: bytes) -> HeartbeatReply:
         """Reply to a worker's heartbeat."""
--- a/src/crosscleat/adapters/pacer.py
+++ b/src/crosscleat/adapters/pacer.py
@@ -10,7 +10,7 @@
 
 
 class Pacer:
-    """A token bucket with the capacity of one second at `rate`, but of at least one token."""
+    """A token bucket that holds the tokens of one second at `rate`, but at least one token."""
 
     def __init__(self, rate: float) -> None:
         self._rate = rate
--- a/src/crosscleat/adapters/peer_link.py
+++ b/src/crosscleat/adapters/peer_link.py
@@ -14,8 +14,8 @@
 from .peer_frames import RELAY_TIMEOUT_S, receive_message
 
 CONNECT_TIMEOUT_S = 2.0
-MAX_BUFFERED = 1 << 20
-"""Limit of unsent bytes; further messages are dropped above it."""
+MAX_BUFFERED_BYTES = 1 << 20
+"""Maximum number of unsent bytes; while there are more, messages are dropped."""
 PROMPT_RETRY_S = 0.02
 MIN_RETRY_S, RETRY_JITTER_S = 0.3, 0.4
 
@@ -48,7 +48,7 @@
     def send(self, message: wire.Message) -> bool:
         """Queue a message; False if the link is down, its buffer full or the message too long."""
         writer = self._writer
-        if writer is None or writer.transport.get_write_buffer_size() > MAX_BUFFERED:
+        if writer is None or writer.transport.get_write_buffer_size() > MAX_BUFFERED_BYTES:
             return False
         try:
             writer.write(wire.encode_frame(message))
--- a/src/crosscleat/adapters/peer_server.py
+++ b/src/crosscleat/adapters/peer_server.py
@@ -27,7 +27,7 @@
 
 
 class PeerServer:
-    """Accepts links of peers; replies to heartbeats and pings, passes other messages on."""
+    """Accepts links of peers; replies to relayed heartbeats and pings, passes other messages on."""
 
     def __init__(self, peers: set[str], service: PeerService, health: Health) -> None:
         self._peers = peers
@@ -35,7 +35,7 @@
         self._health = health
         self._replies = BackgroundTasks(log)
         self._logged_peers: set[str] = set()
-        """Peers with a logged invalid message; only the first one of each peer is logged."""
+        """Peers whose first invalid message has been logged; later ones are not logged."""
 
     async def start(self, address: str) -> asyncio.Server:
         """Listen for the other controllers; the caller closes the listener."""
--- a/src/crosscleat/adapters/state_client.py
+++ b/src/crosscleat/adapters/state_client.py
@@ -55,10 +55,12 @@
 MIN_COMMIT_TIMEOUT_S = 0.1
 MAX_COMMIT_PAUSE_S = 0.4
 READ_SHARE = 0.18
-"""One controller's share of the region's request rate, for users' reads of single keys. With these
-and the reads of live jobs' changes, three controllers leave a tenth of 150 requests per second."""
+"""One controller's share of the request rate that the store allows to the whole region, for users'
+reads of single keys. With these reads and those of the changes of live jobs, three controllers
+leave a tenth of 150 requests per second unused."""
 WRITE_SHARE = 0.7
-"""One controller's share of the region's write rate; high because mostly the leader writes."""
+"""One controller's share of the write rate that the store allows to the whole region; high because
+mostly the leader writes."""
 
 log = logging.getLogger("crosscleat.state")
 
@@ -92,11 +94,11 @@
 
     @property
     def is_available(self) -> bool:
-        """Whether the store answered the last request."""
+        """Whether the last request got a response other than 503."""
         return self._connection.is_available
 
     def outage_s(self) -> float:
-        """Seconds since the store stopped serving this controller; 0 while it serves it."""
+        """Seconds since the store stopped serving this controller; 0 until that is certain."""
         return self._connection.outage_s()
 
     # Reads
@@ -139,7 +141,8 @@
             if isinstance(page, Unanswered):
                 return page
             if first_revision is None:
-                # Keys may change between pages; a watch from the first revision misses no change.
+                # Keys may change while later pages are read: a watch from the first page's revision
+                # misses no change.
                 first_revision = page.revision
             items.extend(page.items)
             if not page.more or not page.items:
--- a/src/crosscleat/adapters/state_connection.py
+++ b/src/crosscleat/adapters/state_connection.py
@@ -41,7 +41,7 @@
 
     @property
     def is_available(self) -> bool:
-        """Whether the store answered the last request."""
+        """Whether the last request got a response other than 503."""
         return self._failures == 0
 
     def outage_s(self) -> float:
@@ -51,14 +51,14 @@
         return monotonic_time() - self._failing_since
 
     def is_down(self) -> bool:
-        """Whether `DOWN_AFTER_FAILURES` was reached and the last failure is recent."""
+        """Whether the store counts as down and the last failure is less than `DOWN_PAUSE_S` ago."""
         return self._failures >= DOWN_AFTER_FAILURES and monotonic_time() < self._retry_at
 
     async def keep_checking(self) -> None:
         """Read a key whenever there was no response for some time, until cancelled.
 
-        While the store is down, the controller takes no user requests, so no other request would
-        detect that the store is available again.
+        A controller that the store does not serve takes no user requests, so none of these would
+        show that the store is available again.
         """
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
@@ -83,7 +83,7 @@
     ) -> HttpResponse | None:
         """Repeat a request while it is refused or gets no response.
 
-        Returns None if it was not executed, or got no response, within `timeout_s`.
+        Returns None if each attempt within `timeout_s` was refused or got no response.
         """
         give_up_at = monotonic_time() + timeout_s
         pause_s = FIRST_PAUSE_S
@@ -104,7 +104,7 @@
             pause_s = min(MAX_PAUSE_S, pause_s * 2.0)
 
     async def pause(self, pause_s: float, left_s: float) -> None:
-        """Sleep for `pause_s` with a jitter of 50%, and no longer than `left_s`."""
+        """Sleep for 50% to 150% of `pause_s`, at random, but no longer than `left_s`."""
         await asyncio.sleep(min(left_s, pause_s * (0.5 + self._rng.random())))
 
     def _record_failure(self) -> None:
--- a/src/crosscleat/adapters/worker_client.py
+++ b/src/crosscleat/adapters/worker_client.py
@@ -35,7 +35,7 @@
         )
 
     async def probe(self, address: str, token: Token, agent_epoch: AgentEpoch) -> bytes | None:
-        """Send a command without orders; the reply's body, undecoded, or None if there was none."""
+        """Send a command without orders; returns the worker's heartbeat, undecoded, or None."""
         try:
             response = await self._post(address, wire.encode_direct_command(token, agent_epoch, ()))
         except NO_RESPONSE_ERRORS as error:
--- a/src/crosscleat/app.py
+++ b/src/crosscleat/app.py
@@ -30,7 +30,7 @@
 
 
 class App:
-    """A controller process: the controller, its clients, links to peers and servers."""
+    """A controller process: the controller, its clients, servers, and links to peers."""
 
     def __init__(
         self,
--- a/src/crosscleat/runtime/service.py
+++ b/src/crosscleat/runtime/service.py
@@ -34,7 +34,7 @@
 
 
 class ControllerService:
-    """Converts requests and messages into controller inputs, and its answers into replies."""
+    """Converts requests and messages into inputs of the controller, and answers into replies."""
 
     def __init__(
         self,
--- a/src/crosscleat/runtime/sockets.py
+++ b/src/crosscleat/runtime/sockets.py
@@ -33,7 +33,7 @@
         # Two listening sockets; for each peer one incoming link, one outgoing link and one attempt
         # to reconnect.
         remaining = max_sockets - store - cloud - 2 * workers - 3 * peers - 2
-        # A reserve is left for the operating system.
+        # A reserve is left for the system.
         return cls(store, cloud, workers, max(2, remaining - max_sockets // 32))
 
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -137,6 +137,8 @@
 
 
 class Worker:
+    """A worker whose tasks finish successfully after a short time."""
+
     def __init__(self, name: str, cloud: Cloud) -> None:
         self.name = name
         self.cloud = cloud
@@ -224,6 +226,8 @@
 
 
 class Cloud:
+    """The cloud; it also runs the workers and records task attempts that run at the same time."""
+
     def __init__(self, controllers: list[str]) -> None:
         self.controllers = controllers
         self.workers: list[Worker] = []
--- a/tests/test_suspended_process.py
+++ b/tests/test_suspended_process.py
@@ -188,7 +188,7 @@
         )
         await asyncio.sleep(0)
         simulate_suspension()
-        # The answer comes some iterations of the loop after the process resumes.
+        # What the answer depends on takes some iterations of the loop to be read and decided.
         loop.call_soon(loop.call_soon, requests.complete, Response(1, 200))
         return await pending
 
